--- a/bench/main.cc
+++ b/bench/main.cc
@@ -16,10 +16,10 @@
 #include "adapters/http/http_client.h"
 #include "adapters/program.h"
 #include "adapters/worker_pool.h"
-#include "core/admission/owner_table.h"
-#include "core/control/leader_duties.h"
+#include "core/admission/permit_table.h"
+#include "core/control/router_manager.h"
 #include "core/routing/engine_owner.h"
-#include "core/routing/ownership_memo.h"
+#include "core/routing/ownership_cache.h"
 #include "core/routing/rendezvous.h"
 #include "slopes.h"
 
@@ -213,7 +213,7 @@
       *command.mutable_register_router() = routerNumber(i);
       state.apply(command);
     }
-    control::LeaderDuties duties{control::LeaseOptions{}};
+    control::RouterManager router_manager{control::LeaseOptions{}};
     uint32_t next = 0;
     renew.push_back({double(routers), medianMicros(200, [&] {
                        v1::RenewRequest request;
@@ -224,7 +224,7 @@
                          load->set_service("model-" + std::to_string(i));
                          load->set_load(10);
                        }
-                       (void)duties.renew(request, state, 1);
+                       (void)router_manager.renew(request, state, 1);
                      })});
   }
   printSlope("owner of an engine, by routers", "us", owner, 390);
@@ -237,19 +237,19 @@
   std::vector<Point> refresh;
   std::vector<Point> remembered;
   const auto view = std::make_shared<const v1::View>(viewOf(390));
-  routing::OwnershipMemo memo("entry-7");
+  routing::OwnershipCache memo("entry-7");
   for (const uint32_t engines : {40U, 400U, 2800U}) {
-    std::vector<admission::EngineFacts> facts;
+    std::vector<admission::EngineStatus> statuses;
     for (uint32_t i = 0; i < engines; ++i) {
-      admission::EngineFacts fact;
-      fact.engine = "runner-" + std::to_string(i / 4) + "/" + std::to_string(i % 4);
-      fact.service = "model-" + std::to_string(i % 7);
-      fact.owned = i % 390 == 0;
-      facts.push_back(std::move(fact));
+      admission::EngineStatus status;
+      status.engine = "runner-" + std::to_string(i / 4) + "/" + std::to_string(i % 4);
+      status.service = "model-" + std::to_string(i % 7);
+      status.owned = i % 390 == 0;
+      statuses.push_back(std::move(status));
     }
     std::vector<std::string> names;
-    for (const auto& fact : facts) {
-      names.push_back(fact.engine);
+    for (const auto& status : statuses) {
+      names.push_back(status.engine);
     }
     rank.push_back({double(engines), medianMicros(5, [&] {
                       (void)routing::rank(
@@ -261,9 +261,9 @@
                               (void)memo.owns(view, name, "zone-3");
                             }
                           })});
-    admission::OwnerTable table;
+    admission::PermitTable table;
     table.configure(configurationOf(380));
-    refresh.push_back({double(engines), medianMicros(2, [&] { table.setEngines(facts); })});
+    refresh.push_back({double(engines), medianMicros(2, [&] { table.setEngines(statuses); })});
   }
   printSlope("ranking for one request, by engines of the pool", "us", rank, 2800);
   printSlope("owned engines under a known view, by engines", "us", remembered, 2800);
@@ -275,9 +275,9 @@
   for (const uint32_t count : {20'000U, 40'000U, 65'536U}) {
     const uint64_t before = residentBytes();
     admission::MovedSessions sessions;
-    sessions.setBounds(count, 1'000'000'000);
+    sessions.setLimits(count, 1'000'000'000);
     for (uint64_t i = 0; i < count; ++i) {
-      sessions.remember(i * 0x9E3779B97F4A7C15ULL, "runner-123/3", static_cast<int64_t>(i));
+      sessions.record(i * 0x9E3779B97F4A7C15ULL, "runner-123/3", static_cast<int64_t>(i));
     }
     chats.push_back({double(count), double(residentBytes() - before)});
   }
@@ -315,7 +315,7 @@
   for (const uint32_t tenants : {10U, 100U, 380U}) {
     const v1::Configuration declared = configurationOf(tenants);
     configuration.push_back({double(tenants), double(declared.ByteSizeLong())});
-    admission::OwnerTable table;
+    admission::PermitTable table;
     apply.push_back({double(tenants), medianMicros(20, [&] { table.configure(declared); })});
   }
   printSlope("configuration, by tenants", "bytes", configuration, 380);
@@ -325,14 +325,14 @@
 void requestSlopes() {
   std::vector<Point> permits;
   for (const uint32_t held : {10U, 100U, 1000U}) {
-    admission::OwnerTable table;
+    admission::PermitTable table;
     table.configure(configurationOf(380));
     table.setEngines({{.engine = "m/0", .service = "model-0", .owned = true}});
     v1::PoolLoad load;
     load.set_service("model-0");
     load.set_load(1'000'000);
     for (int i = 0; i < 3; ++i) {
-      table.setTotals({load});
+      table.setPoolLoads({load});
     }
     uint64_t sequence = 0;
     const auto ask = [&] {
--- a/bench/relay_slopes.cc
+++ b/bench/relay_slopes.cc
@@ -55,7 +55,7 @@
     updates.push_back(
         {double(count), medianMicros(3, [&] { (void)table.applyUpdate(update, 0); })});
     relay::RunnerRequest request{
-        .service = "model", .now_ms = 10, .engine = true, .asks_owners = true};
+        .service = "model", .now_ms = 10, .engine = true, .uses_slot_owners = true};
     choices.push_back({double(count), medianMicros(20, [&] {
                          ++request.cache_key;
                          (void)table.choose(request);
--- a/src/adapters/disk/file_log_store.cc
+++ b/src/adapters/disk/file_log_store.cc
@@ -219,7 +219,7 @@
   }
   raft::RaftLog log(std::move(std::get<v1::RaftSnapshot>(snapshot)), std::move(entries));
   // A fresh file holds no torn tail and no records that were truncated.
-  if (auto rewritten = rewriteLog(log.withBase(), hard_state_); isError(rewritten)) {
+  if (auto rewritten = rewriteLog(log.entriesWithBase(), hard_state_); isError(rewritten)) {
     return errorOf(rewritten);
   }
   return raft::RaftRecovery{.hard_state = hard_state_, .log = std::move(log)};
@@ -265,7 +265,7 @@
     return stored;
   }
   hard_state_ = hard_state;
-  return rewriteLog(log.withBase(), hard_state);
+  return rewriteLog(log.entriesWithBase(), hard_state);
 }
 
 Result<std::monostate> FileLogStore::rewriteLog(const std::vector<v1::RaftEntry>& entries,
--- a/src/adapters/http/http_client.cc
+++ b/src/adapters/http/http_client.cc
@@ -188,7 +188,7 @@
   const bool turned_away = answer.status() == Status::too_many_requests ||
                            answer.status() == Status::service_unavailable;
   const auto told = turned_away ? answer.header("Retry-After") : std::nullopt;
-  return told ? retryAfterMs(*told) : std::nullopt;
+  return told ? parseRetryAfterMs(*told) : std::nullopt;
 }
 
 awaitable<CallResult> Client::call(const std::string& address, Request request, CallOptions options,
--- a/src/adapters/http/http_server.cc
+++ b/src/adapters/http/http_server.cc
@@ -201,7 +201,7 @@
 }
 
 awaitable<bool> Exchange::drained(size_t most_bytes) {
-  while (!broken_ && heldBytes() > most_bytes) {
+  while (!broken_ && bufferedBytes() > most_bytes) {
     co_await held_timer_.async_wait(kAwait);
   }
   co_return !broken_;
--- a/src/adapters/http/http_server.h
+++ b/src/adapters/http/http_server.h
@@ -58,9 +58,9 @@
   awaitable<bool> finish();
 
   /// Bytes of the answer that the caller has not taken, and that it has.
-  size_t heldBytes() const { return backlog_.size() + writing_bytes_; }
+  size_t bufferedBytes() const { return backlog_.size() + writing_bytes_; }
   uint64_t takenBytes() const { return taken_bytes_; }
-  /// `hook` runs on this worker each time `heldBytes` changes.
+  /// `hook` runs on this worker each time `bufferedBytes` changes.
   void onHeldChange(std::function<void()> hook) { held_hook_ = std::move(hook); }
   /// Waits until nothing is being written any more; the exchange must not end before.
   awaitable<void> settle();
@@ -102,7 +102,7 @@
   size_t writing_bytes_ = 0;
   uint64_t taken_bytes_ = 0;
   std::function<void()> held_hook_;
-  /// Cancelled each time `heldBytes` changes.
+  /// Cancelled each time `bufferedBytes` changes.
   boost::asio::steady_timer held_timer_;
 };
 
--- a/src/core/admission/fair_queue.cc
+++ b/src/core/admission/fair_queue.cc
@@ -104,7 +104,7 @@
   return false;
 }
 
-size_t FairQueue::waitingOf(const std::string& tenant) const {
+size_t FairQueue::tenantSize(const std::string& tenant) const {
   size_t count = 0;
   for (const auto& [priority, priority_class] : classes_) {
     const auto found = priority_class.tenants.find(tenant);
--- a/src/core/admission/fair_queue.h
+++ b/src/core/admission/fair_queue.h
@@ -43,7 +43,7 @@
 
   size_t size() const { return size_; }
   /// Requests of one tenant that wait.
-  size_t waitingOf(const std::string& tenant) const;
+  size_t tenantSize(const std::string& tenant) const;
 
 private:
   struct TenantQueue {
--- a/src/core/admission/moved_sessions.cc
+++ b/src/core/admission/moved_sessions.cc
@@ -2,22 +2,22 @@
 
 namespace workshatch::admission {
 
-void MovedSessions::setBounds(size_t entries, int64_t remember_ms) {
+void MovedSessions::setLimits(size_t entries, int64_t retention_ms) {
   max_entries_ = entries;
-  remember_ms_ = remember_ms;
+  retention_ms_ = retention_ms;
 }
 
-void MovedSessions::remember(uint64_t session, const std::string& engine, int64_t now_ms) {
+void MovedSessions::record(uint64_t session, const std::string& engine, int64_t now_ms) {
   sessions_[session] = Moved{.engine = engine, .at_ms = now_ms};
   ages_.push_back(Age{.session = session, .at_ms = now_ms});
   evict(now_ms);
 }
 
-void MovedSessions::forget(uint64_t session) { sessions_.erase(session); }
+void MovedSessions::remove(uint64_t session) { sessions_.erase(session); }
 
 std::optional<std::string> MovedSessions::find(uint64_t session, int64_t now_ms) const {
   const auto found = sessions_.find(session);
-  if (found == sessions_.end() || now_ms - found->second.at_ms > remember_ms_) {
+  if (found == sessions_.end() || now_ms - found->second.at_ms > retention_ms_) {
     return std::nullopt;
   }
   return found->second.engine;
@@ -28,7 +28,7 @@
     const Age& oldest = ages_.front();
     const auto found = sessions_.find(oldest.session);
     const bool current = found != sessions_.end() && found->second.at_ms == oldest.at_ms;
-    const bool expired = now_ms - oldest.at_ms > remember_ms_;
+    const bool expired = now_ms - oldest.at_ms > retention_ms_;
     if (current && !expired && sessions_.size() <= max_entries_) {
       // A session that comes back often leaves stale ages behind; their number is bounded too.
       return;
--- a/src/core/admission/moved_sessions.h
+++ b/src/core/admission/moved_sessions.h
@@ -14,10 +14,10 @@
 /// Not safe for concurrent use.
 class MovedSessions {
 public:
-  void setBounds(size_t entries, int64_t remember_ms);
+  void setLimits(size_t entries, int64_t retention_ms);
 
-  void remember(uint64_t session, const std::string& engine, int64_t now_ms);
-  void forget(uint64_t session);
+  void record(uint64_t session, const std::string& engine, int64_t now_ms);
+  void remove(uint64_t session);
 
   /// @return the engine that served the session last, if remembered.
   std::optional<std::string> find(uint64_t session, int64_t now_ms) const;
@@ -37,7 +37,7 @@
   void evict(int64_t now_ms);
 
   size_t max_entries_ = 65'536;
-  int64_t remember_ms_ = 6LL * 3600 * 1000;
+  int64_t retention_ms_ = 6LL * 3600 * 1000;
   std::unordered_map<uint64_t, Moved> sessions_;
   std::deque<Age> ages_;
 };
--- a/src/core/admission/owner_table.cc
+++ b/src/core/admission/permit_table.cc
@@ -1,4 +1,4 @@
-#include "core/admission/owner_table.h"
+#include "core/admission/permit_table.h"
 
 #include <algorithm>
 #include <utility>
@@ -35,7 +35,7 @@
 
 } // namespace
 
-void OwnerTable::configure(const v1::Configuration& configuration) {
+void PermitTable::configure(const v1::Configuration& configuration) {
   tenant_weights_.clear();
   for (const v1::Tenant& tenant : configuration.tenants()) {
     tenant_weights_[tenant.name()] = tenant.weight();
@@ -44,61 +44,61 @@
     pools_[service.name()].policy = policyOf(service);
   }
   if (configuration.has_sessions()) {
-    moved_.setBounds(configuration.sessions().remember_entries(),
+    moved_.setLimits(configuration.sessions().remember_entries(),
                      configuration.sessions().remember_seconds() * kMillisecondsPerSecond);
   }
 }
 
-void OwnerTable::setEngines(const std::vector<EngineFacts>& engines) {
+void PermitTable::setEngines(const std::vector<EngineStatus>& engines) {
   std::set<std::string> was_owned;
   for (auto& [name, engine] : engines_) {
-    if (engine.facts.owned) {
+    if (engine.status.owned) {
       was_owned.insert(name);
     }
-    engine.facts.live = false;
-    engine.facts.owned = false;
+    engine.status.live = false;
+    engine.status.owned = false;
   }
   for (auto& [name, pool] : pools_) {
     pool.engines = 0;
   }
-  for (const EngineFacts& facts : engines) {
-    Engine& engine = engines_[facts.engine];
-    if (was_owned.contains(facts.engine) && !facts.owned) {
+  for (const EngineStatus& status : engines) {
+    Engine& engine = engines_[status.engine];
+    if (was_owned.contains(status.engine) && !status.owned) {
       // The holders report their permits to the new owner.
       engine.permits.clear();
       engine.load = 0;
-      engine.heard_load = 0;
+      engine.counted_load = 0;
     }
-    engine.facts = facts;
-    Pool& pool = pools_[facts.service];
+    engine.status = status;
+    Pool& pool = pools_[status.service];
     if (engine.queue.size() == 0) {
       engine.queue = FairQueue(pool.policy.fair_quantum);
     }
-    if (facts.live && !facts.leaving) {
+    if (status.live && !status.leaving) {
       ++pool.engines;
     }
   }
-  sumOwnLoads();
+  recomputeOwnLoads();
   std::erase_if(engines_, [](const auto& entry) {
     const Engine& engine = entry.second;
-    return !engine.facts.live && engine.permits.empty() && engine.queue.size() == 0;
+    return !engine.status.live && engine.permits.empty() && engine.queue.size() == 0;
   });
 }
 
-void OwnerTable::setTotals(const std::vector<v1::PoolLoad>& totals) {
+void PermitTable::setPoolLoads(const std::vector<v1::PoolLoad>& totals) {
   for (const v1::PoolLoad& total : totals) {
     Pool& pool = pools_[total.service()];
-    std::shift_right(pool.others.begin(), pool.others.end(), 1);
+    std::shift_right(pool.other_owner_loads.begin(), pool.other_owner_loads.end(), 1);
     // The sum holds this owner's load as it was reported; what has ended since is nobody else's.
     const uint64_t own = std::max(pool.own_load, pool.reported_load);
-    pool.others.front() = total.load() > own ? total.load() - own : 0;
+    pool.other_owner_loads.front() = total.load() > own ? total.load() - own : 0;
   }
   for (auto& [name, engine] : engines_) {
-    engine.load_at_sums = engine.load;
+    engine.load_at_last_totals = engine.load;
   }
 }
 
-void OwnerTable::setSilentRouters(const std::vector<v1::RouterKey>& routers) {
+void PermitTable::setSilentRouters(const std::vector<v1::RouterKey>& routers) {
   std::set<std::pair<std::string, uint64_t>> silent;
   for (const v1::RouterKey& router : routers) {
     silent.emplace(router.name(), router.incarnation());
@@ -108,57 +108,60 @@
   }
   silent_routers_ = std::move(silent);
   for (auto& [name, engine] : engines_) {
-    engine.heard_load = 0;
+    engine.counted_load = 0;
     for (const auto& [permit, cost] : engine.permits) {
-      engine.heard_load += isSilent(permit) ? 0 : cost;
+      engine.counted_load += isSilent(permit) ? 0 : cost;
     }
   }
-  sumOwnLoads();
+  recomputeOwnLoads();
 }
 
-void OwnerTable::sumOwnLoads() {
+void PermitTable::recomputeOwnLoads() {
   for (auto& [service, pool] : pools_) {
     pool.own_load = 0;
   }
   for (const auto& [name, engine] : engines_) {
-    if (engine.counts()) {
-      pools_[engine.facts.service].own_load += engine.heard_load;
+    if (engine.countsTowardPool()) {
+      pools_[engine.status.service].own_load += engine.counted_load;
     }
   }
 }
 
-uint64_t OwnerTable::othersNow(const Pool& pool) {
+uint64_t PermitTable::estimateOtherOwnersLoad(const Pool& pool) {
   // A router that died is in the sums until its report is too old, while its callers come back
   // elsewhere: the least of the last sums counts.
-  const uint64_t least = *std::min_element(pool.others.begin(), pool.others.end());
+  const uint64_t least =
+      *std::min_element(pool.other_owner_loads.begin(), pool.other_owner_loads.end());
   // After such a death the load falls faster than sums arrive: a fall is taken to go on.
-  const uint64_t fall = pool.others[1] > pool.others[0] ? pool.others[1] - pool.others[0] : 0;
+  const uint64_t fall = pool.other_owner_loads[1] > pool.other_owner_loads[0]
+                            ? pool.other_owner_loads[1] - pool.other_owner_loads[0]
+                            : 0;
   return least > fall ? least - fall : 0;
 }
 
-bool OwnerTable::fits(const Engine& engine, uint64_t cost) const {
-  const Pool& pool = pools_.at(engine.facts.service);
-  const uint64_t total = pool.own_load + othersNow(pool);
+bool PermitTable::hasCapacity(const Engine& engine, uint64_t cost) const {
+  const Pool& pool = pools_.at(engine.status.service);
+  const uint64_t total = pool.own_load + estimateOtherOwnersLoad(pool);
   const uint64_t cap = loadCap(pool.policy, total, pool.engines, cost);
   // Sums are older than the time that a fleet's load needs to halve: an engine that is idle while
   // the others are not is filled in steps, with new sums between.
   const uint64_t step = std::max(2 * cost, cap / 2);
-  return engine.load + cost <= std::min(cap, engine.load_at_sums + step);
+  return engine.load + cost <= std::min(cap, engine.load_at_last_totals + step);
 }
 
-v1::PermitReply OwnerTable::request(const v1::PermitRequest& request, int64_t now_ms) {
+v1::PermitReply PermitTable::request(const v1::PermitRequest& request, int64_t now_ms) {
   const auto found = engines_.find(request.engine());
-  if (found == engines_.end() || !found->second.facts.live) {
+  if (found == engines_.end() || !found->second.status.live) {
     return replyTo(request, v1::PERMIT_UNKNOWN_ENGINE);
   }
   Engine& engine = found->second;
   if (engine.permits.contains(keyOf(request.permit()))) {
     return replyTo(request, v1::PERMIT_GRANTED);
   }
-  if (!engine.facts.owned) {
+  if (!engine.status.owned) {
     return replyTo(request, v1::PERMIT_NOT_OWNER);
   }
-  if (engine.facts.leaving) {
+  if (engine.status.leaving) {
     return replyTo(request, v1::PERMIT_LEAVING);
   }
   if (!request.no_redirect() && request.session() != 0) {
@@ -169,21 +172,21 @@
       return reply;
     }
   }
-  if (engine.queue.size() == 0 && fits(engine, request.cost())) {
+  if (engine.queue.size() == 0 && hasCapacity(engine, request.cost())) {
     grant(engine, request);
     return replyTo(request, v1::PERMIT_GRANTED);
   }
   return refuseOrQueue(engine, request, now_ms);
 }
 
-v1::PermitReply OwnerTable::refuseOrQueue(Engine& engine, const v1::PermitRequest& request,
-                                          int64_t now_ms) {
+v1::PermitReply PermitTable::refuseOrQueue(Engine& engine, const v1::PermitRequest& request,
+                                           int64_t now_ms) {
   if (engine.queue.contains(request.permit())) {
     return replyTo(request, v1::PERMIT_QUEUED);
   }
-  const uint32_t length = pools_.at(engine.facts.service).policy.queue_length;
+  const uint32_t length = pools_.at(engine.status.service).policy.queue_length;
   // One tenant takes at most half of the queue, so that others always find a place.
-  const bool tenant_full = engine.queue.waitingOf(request.tenant()) * 2 >= length;
+  const bool tenant_full = engine.queue.tenantSize(request.tenant()) * 2 >= length;
   if (request.wait_ms() == 0 || engine.queue.size() >= length || tenant_full) {
     return replyTo(request, v1::PERMIT_FULL);
   }
@@ -192,39 +195,39 @@
   return replyTo(request, v1::PERMIT_QUEUED);
 }
 
-void OwnerTable::grant(Engine& engine, const v1::PermitRequest& request) {
+void PermitTable::grant(Engine& engine, const v1::PermitRequest& request) {
   const PermitKey permit = keyOf(request.permit());
   engine.permits[permit] = request.cost();
   addLoad(engine, permit, request.cost());
 }
 
-bool OwnerTable::isSilent(const PermitKey& permit) const {
+bool PermitTable::isSilent(const PermitKey& permit) const {
   return silent_routers_.contains({permit.router, permit.incarnation});
 }
 
-void OwnerTable::addLoad(Engine& engine, const PermitKey& permit, uint64_t cost) {
+void PermitTable::addLoad(Engine& engine, const PermitKey& permit, uint64_t cost) {
   engine.load += cost;
   if (isSilent(permit)) {
     return;
   }
-  engine.heard_load += cost;
-  if (engine.counts()) {
-    pools_[engine.facts.service].own_load += cost;
+  engine.counted_load += cost;
+  if (engine.countsTowardPool()) {
+    pools_[engine.status.service].own_load += cost;
   }
 }
 
-void OwnerTable::takeBack(Engine& engine, std::map<PermitKey, uint64_t>::iterator permit) {
+void PermitTable::removePermit(Engine& engine, std::map<PermitKey, uint64_t>::iterator permit) {
   engine.load -= permit->second;
   if (!isSilent(permit->first)) {
-    engine.heard_load -= permit->second;
-    if (engine.counts()) {
-      pools_[engine.facts.service].own_load -= permit->second;
+    engine.counted_load -= permit->second;
+    if (engine.countsTowardPool()) {
+      pools_[engine.status.service].own_load -= permit->second;
     }
   }
   engine.permits.erase(permit);
 }
 
-void OwnerTable::release(const v1::PermitId& permit, const std::string& engine_name) {
+void PermitTable::release(const v1::PermitId& permit, const std::string& engine_name) {
   const auto found = engines_.find(engine_name);
   if (found == engines_.end()) {
     return;
@@ -232,17 +235,17 @@
   Engine& engine = found->second;
   const auto held = engine.permits.find(keyOf(permit));
   if (held != engine.permits.end()) {
-    takeBack(engine, held);
+    removePermit(engine, held);
   } else {
     engine.queue.remove(permit);
   }
 }
 
-void OwnerTable::adopt(const v1::HeldPermit& held) {
+void PermitTable::adoptPermit(const v1::HeldPermit& held) {
   Engine& engine = engines_[held.engine()];
-  if (engine.facts.engine.empty()) {
+  if (engine.status.engine.empty()) {
     // Not listed here yet; the list that names it keeps the load.
-    engine.facts = EngineFacts{.engine = held.engine(), .service = held.service(), .live = false};
+    engine.status = EngineStatus{.engine = held.engine(), .service = held.service(), .live = false};
   }
   const PermitKey permit = keyOf(held.permit());
   const bool added = engine.permits.emplace(permit, held.cost()).second;
@@ -251,7 +254,7 @@
   }
 }
 
-void OwnerTable::keepRouters(const v1::View& view) {
+void PermitTable::reclaimPermitsNotInView(const v1::View& view) {
   const auto in_view = [&](const std::string& router, uint64_t incarnation) {
     return std::any_of(view.routers().begin(), view.routers().end(), [&](const auto& entry) {
       return entry.name() == router && entry.incarnation() == incarnation;
@@ -261,29 +264,29 @@
     for (auto permit = engine.permits.begin(); permit != engine.permits.end();) {
       const auto current = permit++;
       if (!in_view(current->first.router, current->first.incarnation)) {
-        takeBack(engine, current);
+        removePermit(engine, current);
       }
     }
   }
 }
 
-void OwnerTable::sessionMoved(const v1::SessionMoved& moved, int64_t now_ms) {
+void PermitTable::recordSessionMove(const v1::SessionMoved& moved, int64_t now_ms) {
   if (moved.engine().empty()) {
-    moved_.forget(moved.session());
+    moved_.remove(moved.session());
   } else {
-    moved_.remember(moved.session(), moved.engine(), now_ms);
+    moved_.record(moved.session(), moved.engine(), now_ms);
   }
 }
 
-void OwnerTable::serveQueue(Engine& engine, std::vector<v1::PermitReply>& replies) {
+void PermitTable::grantQueued(Engine& engine, std::vector<v1::PermitReply>& replies) {
   while (const Waiter* waiter = engine.queue.front()) {
-    if (!engine.facts.live || engine.facts.leaving || !engine.facts.owned) {
+    if (!engine.status.live || engine.status.leaving || !engine.status.owned) {
       const Waiter refused = engine.queue.pop();
-      replies.push_back(
-          replyTo(refused.request, engine.facts.owned ? v1::PERMIT_LEAVING : v1::PERMIT_NOT_OWNER));
+      replies.push_back(replyTo(refused.request,
+                                engine.status.owned ? v1::PERMIT_LEAVING : v1::PERMIT_NOT_OWNER));
       continue;
     }
-    if (!fits(engine, waiter->request.cost())) {
+    if (!hasCapacity(engine, waiter->request.cost())) {
       return;
     }
     const Waiter next = engine.queue.pop();
@@ -292,7 +295,7 @@
   }
 }
 
-std::vector<v1::PermitReply> OwnerTable::takeReplies(int64_t now_ms) {
+std::vector<v1::PermitReply> PermitTable::takeDueReplies(int64_t now_ms) {
   std::vector<v1::PermitReply> replies;
   for (auto& [name, engine] : engines_) {
     if (engine.queue.size() == 0) {
@@ -301,20 +304,20 @@
     for (const Waiter& waiter : engine.queue.expire(now_ms)) {
       replies.push_back(replyTo(waiter.request, v1::PERMIT_FULL));
     }
-    serveQueue(engine, replies);
+    grantQueued(engine, replies);
   }
   return replies;
 }
 
-std::vector<v1::PoolLoad> OwnerTable::reportLoads() {
+std::vector<v1::PoolLoad> PermitTable::reportLoads() {
   std::map<std::string, v1::PoolLoad> loads;
   for (const auto& [name, engine] : engines_) {
-    if (!engine.counts()) {
+    if (!engine.countsTowardPool()) {
       continue;
     }
-    v1::PoolLoad& load = loads[engine.facts.service];
-    load.set_service(engine.facts.service);
-    load.set_load(load.load() + engine.heard_load);
+    v1::PoolLoad& load = loads[engine.status.service];
+    load.set_service(engine.status.service);
+    load.set_load(load.load() + engine.counted_load);
     load.set_engines(load.engines() + 1);
   }
   for (auto& [service, pool] : pools_) {
@@ -328,12 +331,12 @@
   return result;
 }
 
-uint64_t OwnerTable::loadOf(const std::string& engine) const {
+uint64_t PermitTable::loadOf(const std::string& engine) const {
   const auto found = engines_.find(engine);
   return found == engines_.end() ? 0 : found->second.load;
 }
 
-size_t OwnerTable::permitCount() const {
+size_t PermitTable::permitCount() const {
   size_t count = 0;
   for (const auto& [name, engine] : engines_) {
     count += engine.permits.size();
@@ -341,7 +344,7 @@
   return count;
 }
 
-size_t OwnerTable::waitingCount() const {
+size_t PermitTable::waitingCount() const {
   size_t count = 0;
   for (const auto& [name, engine] : engines_) {
     count += engine.queue.size();
@@ -349,7 +352,7 @@
   return count;
 }
 
-uint32_t OwnerTable::weightOf(const std::string& tenant) const {
+uint32_t PermitTable::weightOf(const std::string& tenant) const {
   const auto found = tenant_weights_.find(tenant);
   return found == tenant_weights_.end() ? 1 : found->second;
 }
--- a/src/core/admission/owner_table.h
+++ b/src/core/admission/permit_table.h
@@ -22,7 +22,7 @@
 namespace workshatch::admission {
 
 /// What the owner knows of an engine besides its load.
-struct EngineFacts {
+struct EngineStatus {
   std::string engine;
   std::string service;
   /// Takes no new work.
@@ -38,16 +38,16 @@
 /// Guarantees: while this router is an engine's only owner, the load of its permits never passes
 /// `loadCap` of the pool as known here; a permit asked for twice is given once; nobody waits longer
 /// than asked for. Times are milliseconds of a monotonic clock. Not safe for concurrent use.
-class OwnerTable {
+class PermitTable {
 public:
   /// Takes over tenants, pools and session policy of a configuration.
   void configure(const v1::Configuration& configuration);
 
   /// Replaces the list of engines. Permits of engines that went away are kept until released.
-  void setEngines(const std::vector<EngineFacts>& engines);
+  void setEngines(const std::vector<EngineStatus>& engines);
 
   /// Takes the pools' sums as control reported them, own loads included.
-  void setTotals(const std::vector<v1::PoolLoad>& totals);
+  void setPoolLoads(const std::vector<v1::PoolLoad>& totals);
 
   /// Routers that may be dead. Their permits go on holding the places of an engine, but count in no
   /// sum: the callers behind them come back elsewhere and are counted there.
@@ -59,15 +59,15 @@
   void release(const v1::PermitId& permit, const std::string& engine);
 
   /// Takes over a permit that an earlier owner gave.
-  void adopt(const v1::HeldPermit& held);
+  void adoptPermit(const v1::HeldPermit& held);
 
   /// Reclaims the permits of routers that are not in the view any more.
-  void keepRouters(const v1::View& view);
+  void reclaimPermitsNotInView(const v1::View& view);
 
-  void sessionMoved(const v1::SessionMoved& moved, int64_t now_ms);
+  void recordSessionMove(const v1::SessionMoved& moved, int64_t now_ms);
 
   /// Answers that became due: permits for waiters, refusals at their deadline.
-  std::vector<v1::PermitReply> takeReplies(int64_t now_ms);
+  std::vector<v1::PermitReply> takeDueReplies(int64_t now_ms);
 
   /// Load of the owned engines, by pool, for the next report to control.
   std::vector<v1::PoolLoad> reportLoads();
@@ -77,17 +77,17 @@
 
 private:
   struct Engine {
-    EngineFacts facts;
+    EngineStatus status;
     uint64_t load = 0;
     /// Load of the permits whose routers are not silent.
-    uint64_t heard_load = 0;
+    uint64_t counted_load = 0;
     /// Load when the last sums came.
-    uint64_t load_at_sums = 0;
+    uint64_t load_at_last_totals = 0;
     std::map<PermitKey, uint64_t> permits;
     FairQueue queue;
 
     /// Whether its load counts in the pool's sum.
-    bool counts() const { return facts.owned && !facts.leaving; }
+    bool countsTowardPool() const { return status.owned && !status.leaving; }
   };
   struct Pool {
     PoolPolicy policy;
@@ -97,22 +97,22 @@
     /// `own_load` as it was last reported, which the next sums contain.
     uint64_t reported_load = 0;
     /// Load of all other owners in the last sums, newest first.
-    std::array<uint64_t, 3> others{};
+    std::array<uint64_t, 3> other_owner_loads{};
   };
 
   /// Load of the other owners now, estimated from sums that are some hundred milliseconds old. An
   /// estimate that is too low only makes callers wait.
-  static uint64_t othersNow(const Pool& pool);
+  static uint64_t estimateOtherOwnersLoad(const Pool& pool);
   bool isSilent(const PermitKey& permit) const;
   void addLoad(Engine& engine, const PermitKey& permit, uint64_t cost);
   /// Makes the pools' own loads anew from those of the engines.
-  void sumOwnLoads();
-  bool fits(const Engine& engine, uint64_t cost) const;
+  void recomputeOwnLoads();
+  bool hasCapacity(const Engine& engine, uint64_t cost) const;
   void grant(Engine& engine, const v1::PermitRequest& request);
   v1::PermitReply refuseOrQueue(Engine& engine, const v1::PermitRequest& request, int64_t now_ms);
-  void serveQueue(Engine& engine, std::vector<v1::PermitReply>& replies);
+  void grantQueued(Engine& engine, std::vector<v1::PermitReply>& replies);
   uint32_t weightOf(const std::string& tenant) const;
-  void takeBack(Engine& engine, std::map<PermitKey, uint64_t>::iterator permit);
+  void removePermit(Engine& engine, std::map<PermitKey, uint64_t>::iterator permit);
 
   std::unordered_map<std::string, Engine> engines_;
   std::map<std::string, Pool> pools_;
--- a/src/core/backoff.cc
+++ b/src/core/backoff.cc
@@ -4,7 +4,7 @@
 
 namespace workshatch {
 
-std::optional<uint32_t> millisecondsOf(std::string_view text, double unit_ms) {
+std::optional<uint32_t> parseMilliseconds(std::string_view text, double unit_ms) {
   constexpr double kMostMs = 86'400'000;
   double value = 0;
   const char* end = text.data() + text.size();
@@ -14,9 +14,9 @@
                : std::nullopt;
 }
 
-std::optional<uint32_t> retryAfterMs(std::string_view value) {
+std::optional<uint32_t> parseRetryAfterMs(std::string_view value) {
   constexpr double kMillisecondsPerSecond = 1000;
-  return millisecondsOf(value, kMillisecondsPerSecond);
+  return parseMilliseconds(value, kMillisecondsPerSecond);
 }
 
 } // namespace workshatch
--- a/src/core/compression/deflate.cc
+++ b/src/core/compression/deflate.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// Fast: routes of a configuration are alike, so that more effort gains little.
-constexpr int kLevel = 2;
+constexpr int kCompressionLevel = 2;
 
 const Bytef* bytesOf(std::string_view text) { return reinterpret_cast<const Bytef*>(text.data()); }
 
@@ -19,7 +19,7 @@
   uLongf size = compressBound(bytes.size());
   std::string out(size, '\0');
   // With a buffer of the bound's size this fails only for want of memory.
-  if (compress2(bytesOf(out), &size, bytesOf(bytes), bytes.size(), kLevel) != Z_OK) {
+  if (compress2(bytesOf(out), &size, bytesOf(bytes), bytes.size(), kCompressionLevel) != Z_OK) {
     return {};
   }
   out.resize(size);
@@ -27,17 +27,17 @@
   return out;
 }
 
-Result<std::string> inflate(std::string_view bytes, size_t bytes_out) {
-  std::string out(bytes_out, '\0');
-  uLongf size = bytes_out;
+Result<std::string> inflate(std::string_view bytes, size_t uncompressed_size) {
+  std::string out(uncompressed_size, '\0');
+  uLongf size = uncompressed_size;
   const int outcome = uncompress(bytesOf(out), &size, bytesOf(bytes), bytes.size());
-  if (outcome != Z_OK || size != bytes_out) {
+  if (outcome != Z_OK || size != uncompressed_size) {
     return Error{"not a whole compressed text of the size that was told"};
   }
   return out;
 }
 
-v1::Compressed packMessage(const google::protobuf::MessageLite& message) {
+v1::Compressed compressMessage(const google::protobuf::MessageLite& message) {
   const std::string bytes = message.SerializeAsString();
   v1::Compressed packed;
   packed.set_data(deflate(bytes));
@@ -45,7 +45,7 @@
   return packed;
 }
 
-bool unpackMessage(const v1::Compressed& packed, google::protobuf::MessageLite& message) {
+bool decompressMessage(const v1::Compressed& packed, google::protobuf::MessageLite& message) {
   const Result<std::string> bytes = inflate(packed.data(), packed.message_bytes());
   return !isError(bytes) && message.ParseFromString(std::get<std::string>(bytes));
 }
--- a/src/core/compression/deflate.h
+++ b/src/core/compression/deflate.h
@@ -16,14 +16,14 @@
 /// @return `bytes` in the zlib format (RFC 1950).
 std::string deflate(std::string_view bytes);
 
-/// @param bytes_out the exact size of the result, as the sender told it
+/// @param uncompressed_size the exact size of the result, as the sender told it
 /// @return the bytes, or an error when the input is no whole zlib stream of that size.
-Result<std::string> inflate(std::string_view bytes, size_t bytes_out);
+Result<std::string> inflate(std::string_view bytes, size_t uncompressed_size);
 
 /// @return the message, compressed.
-v1::Compressed packMessage(const google::protobuf::MessageLite& message);
+v1::Compressed compressMessage(const google::protobuf::MessageLite& message);
 
 /// @return whether `message` now holds what was packed.
-bool unpackMessage(const v1::Compressed& packed, google::protobuf::MessageLite& message);
+bool decompressMessage(const v1::Compressed& packed, google::protobuf::MessageLite& message);
 
 } // namespace workshatch::compression
--- a/src/core/control/ledger.cc
+++ b/src/core/control/ledger.cc
@@ -13,13 +13,14 @@
   return reply;
 }
 
-v1::LedgerReply recorded(const v1::LedgerEntry& entry) {
+v1::LedgerReply recordedAnswer(const v1::LedgerEntry& entry) {
   v1::LedgerReply reply = replyOf(v1::LEDGER_ANSWERED);
   *reply.mutable_answer() = entry.answer();
   return reply;
 }
 
-v1::LedgerReply repeatedBegin(const v1::LedgerEntry& entry, const v1::LedgerBeginRequest& request) {
+v1::LedgerReply replyToRepeatedBegin(const v1::LedgerEntry& entry,
+                                     const v1::LedgerBeginRequest& request) {
   if (entry.status() == v1::LEDGER_ABORTED) {
     // A tombstone has no fingerprint to compare.
     return replyOf(v1::LEDGER_REFUSED);
@@ -29,7 +30,7 @@
   }
   switch (entry.status()) {
   case v1::LEDGER_COMPLETED:
-    return recorded(entry);
+    return recordedAnswer(entry);
   case v1::LEDGER_UNKNOWN:
     return replyOf(v1::LEDGER_OUTCOME_UNKNOWN);
   default:
@@ -48,7 +49,7 @@
   const bool retry = found != entries_.end() && found->second.status() == v1::LEDGER_ABORTED &&
                      found->second.attempt() != request.attempt();
   if (found != entries_.end() && !retry) {
-    return repeatedBegin(found->second, request);
+    return replyToRepeatedBegin(found->second, request);
   }
   v1::LedgerEntry entry;
   entry.set_key(request.key());
@@ -70,7 +71,7 @@
   }
   v1::LedgerEntry& entry = found->second;
   if (entry.status() == v1::LEDGER_COMPLETED) {
-    return recorded(entry);
+    return recordedAnswer(entry);
   }
   if (entry.status() != v1::LEDGER_BEGUN) {
     return replyOf(entry.status() == v1::LEDGER_UNKNOWN ? v1::LEDGER_OUTCOME_UNKNOWN
@@ -82,7 +83,7 @@
   }
   entry.set_status(v1::LEDGER_COMPLETED);
   *entry.mutable_answer() = request.answer();
-  return recorded(entry);
+  return recordedAnswer(entry);
 }
 
 v1::LedgerReply Ledger::abort(const v1::LedgerAbortRequest& request) {
@@ -99,7 +100,7 @@
   return replyOf(v1::LEDGER_DONE);
 }
 
-void Ledger::abandon(const std::string& router, uint64_t incarnation) {
+void Ledger::markUnknown(const std::string& router, uint64_t incarnation) {
   for (auto& [key, entry] : entries_) {
     if (entry.status() == v1::LEDGER_BEGUN && entry.router() == router &&
         entry.incarnation() == incarnation) {
@@ -108,7 +109,7 @@
   }
 }
 
-void Ledger::forgetBefore(uint64_t clock_ms) {
+void Ledger::removeBefore(uint64_t clock_ms) {
   while (!ages_.empty() && ages_.front().begun_ms < clock_ms) {
     const Age age = ages_.front();
     const auto found = entries_.find(age.key);
--- a/src/core/control/ledger.h
+++ b/src/core/control/ledger.h
@@ -24,10 +24,10 @@
   v1::LedgerReply abort(const v1::LedgerAbortRequest& request);
 
   /// Entries that a router incarnation has begun and not finished become "unknown".
-  void abandon(const std::string& router, uint64_t incarnation);
+  void markUnknown(const std::string& router, uint64_t incarnation);
 
   /// Forgets entries begun before `clock_ms`, except those in progress.
-  void forgetBefore(uint64_t clock_ms);
+  void removeBefore(uint64_t clock_ms);
 
   size_t size() const { return entries_.size(); }
   void save(v1::StateSnapshot& snapshot) const;
--- a/src/core/control/replicated_state.cc
+++ b/src/core/control/replicated_state.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Changes whose first answer is remembered for resends: five days at 1,900 changes a day.
-constexpr size_t kRememberedChanges = 10'000;
+constexpr size_t kMaxRecordedChanges = 10'000;
 constexpr uint64_t kMillisecondsPerHour = 3'600'000;
 constexpr uint32_t kDefaultLedgerRetentionHours = 48;
 
@@ -19,7 +19,7 @@
   return XXH3_64bits(bytes.data(), bytes.size());
 }
 
-v1::ApplyReply firstAnswer(const v1::AppliedChange& change, uint64_t digest) {
+v1::ApplyReply replyFor(const v1::AppliedChange& change, uint64_t digest) {
   v1::ApplyReply reply;
   if (change.digest() != digest) {
     reply.set_state(v1::APPLY_REQUEST_ID_REUSED);
@@ -63,8 +63,8 @@
 
 v1::ApplyReply ReplicatedState::applyChange(const v1::ApplyRequest& request) {
   const uint64_t digest = digestOf(request);
-  if (const v1::AppliedChange* change = rememberedChange(request.request_id())) {
-    return firstAnswer(*change, digest);
+  if (const v1::AppliedChange* change = findChange(request.request_id())) {
+    return replyFor(*change, digest);
   }
   v1::AppliedChange change;
   change.set_request_id(request.request_id());
@@ -77,14 +77,14 @@
     configuration_ = request.configuration();
     change.set_revision(revision_);
   }
-  remember(change);
-  return firstAnswer(change, digest);
+  recordChange(change);
+  return replyFor(change, digest);
 }
 
 v1::ApplyReply ReplicatedState::drainRunner(const v1::DrainRunnerRequest& request) {
   const uint64_t digest = digestOf(request);
-  if (const v1::AppliedChange* change = rememberedChange(request.request_id())) {
-    return firstAnswer(*change, digest);
+  if (const v1::AppliedChange* change = findChange(request.request_id())) {
+    return replyFor(*change, digest);
   }
   auto* runners = configuration_.mutable_runners();
   auto found = std::find_if(runners->begin(), runners->end(), [&](const auto& declaration) {
@@ -98,12 +98,12 @@
   change.set_request_id(request.request_id());
   change.set_digest(digest);
   change.set_revision(revision_);
-  remember(change);
-  return firstAnswer(change, digest);
+  recordChange(change);
+  return replyFor(change, digest);
 }
 
 v1::LedgerReply ReplicatedState::beginLedger(const v1::LedgerBeginRequest& request) {
-  forgetOldLedgerEntries();
+  removeExpiredLedgerEntries();
   const v1::RouterEntry* router = findRouter(request.router());
   if (router == nullptr || router->incarnation() != request.incarnation()) {
     // Nothing would mark the entry "unknown" if this router went away.
@@ -123,7 +123,7 @@
   } else {
     if (found->incarnation() != router.incarnation()) {
       // The process was started anew on the same address: the one before is gone.
-      ledger_.abandon(found->name(), found->incarnation());
+      ledger_.markUnknown(found->name(), found->incarnation());
     }
     *found = router;
   }
@@ -145,7 +145,7 @@
     });
     if (found != routers->end()) {
       routers->erase(found);
-      ledger_.abandon(key.name(), key.incarnation());
+      ledger_.markUnknown(key.name(), key.incarnation());
       changed = true;
     }
   }
@@ -164,26 +164,26 @@
   return found == view_.routers().end() ? nullptr : &*found;
 }
 
-void ReplicatedState::remember(v1::AppliedChange change) {
+void ReplicatedState::recordChange(v1::AppliedChange change) {
   change_order_.push_back(change.request_id());
   changes_[change.request_id()] = std::move(change);
-  if (change_order_.size() > kRememberedChanges) {
+  if (change_order_.size() > kMaxRecordedChanges) {
     changes_.erase(change_order_.front());
     change_order_.pop_front();
   }
 }
 
-const v1::AppliedChange* ReplicatedState::rememberedChange(const std::string& request_id) const {
+const v1::AppliedChange* ReplicatedState::findChange(const std::string& request_id) const {
   const auto found = changes_.find(request_id);
   return found == changes_.end() ? nullptr : &found->second;
 }
 
-void ReplicatedState::forgetOldLedgerEntries() {
+void ReplicatedState::removeExpiredLedgerEntries() {
   const uint32_t configured = configuration_.ledger_retention_hours();
   const uint64_t hours = configured == 0 ? kDefaultLedgerRetentionHours : configured;
   const uint64_t retention_ms = hours * kMillisecondsPerHour;
   if (clock_ms_ > retention_ms) {
-    ledger_.forgetBefore(clock_ms_ - retention_ms);
+    ledger_.removeBefore(clock_ms_ - retention_ms);
   }
 }
 
@@ -213,7 +213,7 @@
   changes_.clear();
   change_order_.clear();
   for (const v1::AppliedChange& change : snapshot.changes()) {
-    remember(change);
+    recordChange(change);
   }
   return true;
 }
--- a/src/core/control/replicated_state.h
+++ b/src/core/control/replicated_state.h
@@ -45,10 +45,10 @@
   v1::LedgerReply beginLedger(const v1::LedgerBeginRequest& request);
   void registerRouter(const v1::RouterEntry& router);
   void dropRouters(const v1::DropRouters& drop);
-  void remember(v1::AppliedChange change);
+  void recordChange(v1::AppliedChange change);
   /// First answer to `request_id`, or null.
-  const v1::AppliedChange* rememberedChange(const std::string& request_id) const;
-  void forgetOldLedgerEntries();
+  const v1::AppliedChange* findChange(const std::string& request_id) const;
+  void removeExpiredLedgerEntries();
 
   uint64_t revision_ = 0;
   uint64_t clock_ms_ = 0;
--- a/src/core/control/router_leases.cc
+++ b/src/core/control/router_leases.cc
@@ -4,7 +4,7 @@
 
 namespace workshatch::control {
 
-void RouterLeases::renewed(const v1::RenewRequest& request, int64_t now_ms) {
+void RouterLeases::recordRenewal(const v1::RenewRequest& request, int64_t now_ms) {
   RouterRecord& record = records_[request.router().name()];
   record.incarnation = request.router().incarnation();
   record.renewed_ms = now_ms;
@@ -19,7 +19,7 @@
   return known ? &found->second : nullptr;
 }
 
-std::vector<v1::RouterKey> RouterLeases::expired(const v1::View& view, int64_t now_ms) {
+std::vector<v1::RouterKey> RouterLeases::expiredRouters(const v1::View& view, int64_t now_ms) {
   std::vector<v1::RouterKey> result;
   for (const v1::RouterEntry& router : view.routers()) {
     const RouterRecord* known = find(router);
@@ -40,7 +40,8 @@
   return result;
 }
 
-std::vector<std::string> RouterLeases::waitingFor(const v1::View& view, uint64_t revision) const {
+std::vector<std::string> RouterLeases::routersBehind(const v1::View& view,
+                                                     uint64_t revision) const {
   std::vector<std::string> result;
   for (const v1::RouterEntry& router : view.routers()) {
     const RouterRecord* record = find(router);
@@ -72,17 +73,18 @@
   return settled_view_;
 }
 
-const RouterLeases::RouterRecord* RouterLeases::findHeard(const v1::RouterEntry& router,
-                                                          int64_t now_ms) const {
+const RouterLeases::RouterRecord* RouterLeases::findRecentlyRenewed(const v1::RouterEntry& router,
+                                                                    int64_t now_ms) const {
   const RouterRecord* record = find(router);
-  const bool heard = record != nullptr && now_ms - record->renewed_ms <= options_.load_report_ms;
+  const bool heard =
+      record != nullptr && now_ms - record->renewed_ms <= options_.max_load_report_age_ms;
   return heard ? record : nullptr;
 }
 
-std::vector<v1::RouterKey> RouterLeases::silent(const v1::View& view, int64_t now_ms) const {
+std::vector<v1::RouterKey> RouterLeases::silentRouters(const v1::View& view, int64_t now_ms) const {
   std::vector<v1::RouterKey> routers;
   for (const v1::RouterEntry& router : view.routers()) {
-    if (findHeard(router, now_ms) == nullptr) {
+    if (findRecentlyRenewed(router, now_ms) == nullptr) {
       v1::RouterKey& key = routers.emplace_back();
       key.set_name(router.name());
       key.set_incarnation(router.incarnation());
@@ -91,10 +93,10 @@
   return routers;
 }
 
-std::vector<v1::PoolLoad> RouterLeases::totals(const v1::View& view, int64_t now_ms) const {
+std::vector<v1::PoolLoad> RouterLeases::poolTotals(const v1::View& view, int64_t now_ms) const {
   std::map<std::string, v1::PoolLoad> sums;
   for (const v1::RouterEntry& router : view.routers()) {
-    const RouterRecord* record = findHeard(router, now_ms);
+    const RouterRecord* record = findRecentlyRenewed(router, now_ms);
     if (record == nullptr) {
       continue;
     }
--- a/src/core/control/router_leases.h
+++ b/src/core/control/router_leases.h
@@ -17,7 +17,7 @@
   /// Added before a router is dropped, for the difference between two clocks.
   int64_t margin_ms = 100;
   /// Age up to which a router's load report counts.
-  int64_t load_report_ms = 320;
+  int64_t max_load_report_age_ms = 320;
 };
 
 /// Soft state of one term of leadership; made anew when a replica becomes leader.
@@ -30,14 +30,14 @@
   explicit RouterLeases(LeaseOptions options) : options_(options) {}
 
   /// Takes note of a renewal that is answered with a lease.
-  void renewed(const v1::RenewRequest& request, int64_t now_ms);
+  void recordRenewal(const v1::RenewRequest& request, int64_t now_ms);
 
   /// Routers of the view whose lease has certainly lapsed. A router that is seen for the first time
   /// has a whole lease from now: an earlier leader may have granted it, or it has just registered.
-  std::vector<v1::RouterKey> expired(const v1::View& view, int64_t now_ms);
+  std::vector<v1::RouterKey> expiredRouters(const v1::View& view, int64_t now_ms);
 
   /// Routers of the view that are not known to have `revision` in force.
-  std::vector<std::string> waitingFor(const v1::View& view, uint64_t revision) const;
+  std::vector<std::string> routersBehind(const v1::View& view, uint64_t revision) const;
 
   /// @return whether a majority of the view before the last drop has acknowledged this one.
   bool dropAcknowledged(const v1::View& view) const;
@@ -48,10 +48,10 @@
   /// Sums of the loads that the view's routers reported, by pool. Reports of routers that have not
   /// renewed lately are left out: what a dead router admitted is gone, and a sum that is too low
   /// only makes owners wait.
-  std::vector<v1::PoolLoad> totals(const v1::View& view, int64_t now_ms) const;
+  std::vector<v1::PoolLoad> poolTotals(const v1::View& view, int64_t now_ms) const;
 
-  /// Routers of the view whose loads `totals` leaves out.
-  std::vector<v1::RouterKey> silent(const v1::View& view, int64_t now_ms) const;
+  /// Routers of the view whose loads `poolTotals` leaves out.
+  std::vector<v1::RouterKey> silentRouters(const v1::View& view, int64_t now_ms) const;
 
   v1::RouterStatus status(const v1::RouterEntry& router, int64_t now_ms) const;
 
@@ -66,7 +66,7 @@
 
   const RouterRecord* find(const v1::RouterEntry& router) const;
   /// The record of a router that renewed lately; null: it is silent.
-  const RouterRecord* findHeard(const v1::RouterEntry& router, int64_t now_ms) const;
+  const RouterRecord* findRecentlyRenewed(const v1::RouterEntry& router, int64_t now_ms) const;
 
   const LeaseOptions options_;
   std::map<std::string, RouterRecord> records_;
--- a/src/core/control/leader_duties.cc
+++ b/src/core/control/router_manager.cc
@@ -1,4 +1,4 @@
-#include "core/control/leader_duties.h"
+#include "core/control/router_manager.h"
 
 #include <utility>
 
@@ -7,14 +7,14 @@
 namespace {
 
 /// A command that had no effect after this long is proposed again.
-constexpr int64_t kProposeAgainMs = 1000;
+constexpr int64_t kReproposeAfterMs = 1000;
 
 } // namespace
 
-bool LeaderDuties::registrationDue(const v1::RouterEntry& router, int64_t now_ms) {
+bool RouterManager::registrationDue(const v1::RouterEntry& router, int64_t now_ms) {
   Registration& last = registrations_[router.name()];
   const bool same = last.incarnation == router.incarnation() && last.state == router.state();
-  if (same && now_ms - last.proposed_ms < kProposeAgainMs) {
+  if (same && now_ms - last.proposed_ms < kReproposeAfterMs) {
     return false;
   }
   last = Registration{
@@ -22,8 +22,8 @@
   return true;
 }
 
-LeaderDuties::Renewal LeaderDuties::renew(const v1::RenewRequest& request,
-                                          const ReplicatedState& state, int64_t now_ms) {
+RouterManager::Renewal RouterManager::renew(const v1::RenewRequest& request,
+                                            const ReplicatedState& state, int64_t now_ms) {
   Renewal renewal;
   const v1::RouterEntry* known = state.findRouter(request.router().name());
   const bool same_start =
@@ -35,7 +35,7 @@
   }
   v1::RenewReply& reply = renewal.reply;
   if (same_start) {
-    leases_.renewed(request, now_ms);
+    leases_.recordRenewal(request, now_ms);
     reply.set_lease_ms(static_cast<uint32_t>(options_.lease_ms));
   }
   const v1::View& view = state.view();
@@ -48,22 +48,24 @@
   if (request.view_in_force() != view.number()) {
     *reply.mutable_view() = view;
   }
-  for (v1::RouterKey& router : leases_.silent(view, now_ms)) {
+  for (v1::RouterKey& router : leases_.silentRouters(view, now_ms)) {
     *reply.add_silent() = std::move(router);
   }
-  for (v1::PoolLoad& total : leases_.totals(view, now_ms)) {
+  for (v1::PoolLoad& total : leases_.poolTotals(view, now_ms)) {
     *reply.add_totals() = std::move(total);
   }
   return renewal;
 }
 
-std::optional<v1::Command> LeaderDuties::dropExpired(const ReplicatedState& state, int64_t now_ms) {
+std::optional<v1::Command> RouterManager::dropExpired(const ReplicatedState& state,
+                                                      int64_t now_ms) {
   const v1::View& view = state.view();
-  const bool proposed = drop_view_ == view.number() && now_ms - drop_proposed_ms_ < kProposeAgainMs;
+  const bool proposed =
+      drop_view_ == view.number() && now_ms - drop_proposed_ms_ < kReproposeAfterMs;
   if (proposed || !leases_.dropAcknowledged(view)) {
     return std::nullopt;
   }
-  const std::vector<v1::RouterKey> expired = leases_.expired(view, now_ms);
+  const std::vector<v1::RouterKey> expired = leases_.expiredRouters(view, now_ms);
   if (expired.empty()) {
     return std::nullopt;
   }
@@ -76,8 +78,8 @@
   return command;
 }
 
-bool LeaderDuties::inForceEverywhere(const ReplicatedState& state, uint64_t revision) const {
-  return leases_.waitingFor(state.view(), revision).empty() &&
+bool RouterManager::isActiveOnAllRouters(const ReplicatedState& state, uint64_t revision) const {
+  return leases_.routersBehind(state.view(), revision).empty() &&
          leases_.dropAcknowledged(state.view());
 }
 
--- a/src/core/control/leader_duties.h
+++ b/src/core/control/router_manager.h
@@ -16,9 +16,9 @@
 /// Duties of one term of leadership; a new leader starts anew. Reads the replicated state and gives
 /// commands to propose; does no I/O. Times are milliseconds of the leader's monotonic clock. Not
 /// safe for concurrent use.
-class LeaderDuties {
+class RouterManager {
 public:
-  explicit LeaderDuties(LeaseOptions options) : options_(options), leases_(options) {}
+  explicit RouterManager(LeaseOptions options) : options_(options), leases_(options) {}
 
   struct Renewal {
     v1::RenewReply reply;
@@ -34,7 +34,7 @@
   std::optional<v1::Command> dropExpired(const ReplicatedState& state, int64_t now_ms);
 
   /// @return whether every router that serves, or may serve, has `revision` in force.
-  bool inForceEverywhere(const ReplicatedState& state, uint64_t revision) const;
+  bool isActiveOnAllRouters(const ReplicatedState& state, uint64_t revision) const;
 
   const RouterLeases& leases() const { return leases_; }
 
--- a/src/core/limits/tenant_limiter.cc
+++ b/src/core/limits/tenant_limiter.cc
@@ -13,25 +13,25 @@
 
 void TenantLimiter::configure(const v1::Configuration& configuration) {
   for (auto& [name, state] : tenants_) {
-    state.declared = false;
+    state.configured = false;
   }
   for (const v1::Tenant& tenant : configuration.tenants()) {
     TenantState& state = tenants_[tenant.name()];
     if (state.per_second != tenant.requests_per_second()) {
       state.tokens = tenant.requests_per_second();
     }
-    state.declared = true;
+    state.configured = true;
     state.max_in_flight = tenant.max_in_flight();
     state.per_second = tenant.requests_per_second();
   }
   std::erase_if(tenants_, [](const auto& entry) {
-    return !entry.second.declared && entry.second.in_flight == 0;
+    return !entry.second.configured && entry.second.in_flight == 0;
   });
 }
 
-LimitVerdict TenantLimiter::enter(const std::string& tenant, int64_t now_ms) {
+LimitVerdict TenantLimiter::admit(const std::string& tenant, int64_t now_ms) {
   const auto found = tenants_.find(tenant);
-  if (found == tenants_.end() || !found->second.declared) {
+  if (found == tenants_.end() || !found->second.configured) {
     return LimitVerdict::UnknownTenant;
   }
   TenantState& state = found->second;
@@ -40,9 +40,9 @@
   }
   if (state.per_second != 0) {
     const double filled =
-        static_cast<double>(now_ms - state.filled_ms) * state.per_second / kMillisecondsPerSecond;
+        static_cast<double>(now_ms - state.refilled_ms) * state.per_second / kMillisecondsPerSecond;
     state.tokens = std::min<double>(state.per_second, state.tokens + filled);
-    state.filled_ms = now_ms;
+    state.refilled_ms = now_ms;
     if (state.tokens < 1) {
       return LimitVerdict::TooManyPerSecond;
     }
@@ -52,7 +52,7 @@
   return LimitVerdict::Admitted;
 }
 
-void TenantLimiter::leave(const std::string& tenant) {
+void TenantLimiter::release(const std::string& tenant) {
   const auto found = tenants_.find(tenant);
   if (found != tenants_.end() && found->second.in_flight > 0) {
     --found->second.in_flight;
--- a/src/core/limits/tenant_limiter.h
+++ b/src/core/limits/tenant_limiter.h
@@ -19,22 +19,22 @@
   void configure(const v1::Configuration& configuration);
 
   /// Counts a request in when its tenant's limits allow it.
-  LimitVerdict enter(const std::string& tenant, int64_t now_ms);
-  /// Counts out a request that `enter` admitted.
-  void leave(const std::string& tenant);
+  LimitVerdict admit(const std::string& tenant, int64_t now_ms);
+  /// Counts out a request that `admit` admitted.
+  void release(const std::string& tenant);
 
   /// Milliseconds until one more request of the tenant may be admitted by its rate.
   uint32_t retryAfterMs(const std::string& tenant) const;
 
 private:
   struct TenantState {
-    bool declared = false;
+    bool configured = false;
     uint32_t max_in_flight = 0;
     uint32_t per_second = 0;
     uint32_t in_flight = 0;
     /// Token bucket, filled at `per_second`, holding at most one second's worth.
     double tokens = 0;
-    int64_t filled_ms = 0;
+    int64_t refilled_ms = 0;
   };
 
   std::map<std::string, TenantState> tenants_;
--- a/src/core/raft/raft_election.cc
+++ b/src/core/raft/raft_election.cc
@@ -26,7 +26,7 @@
 
 void RaftNode::becomePreCandidate() {
   role_ = RaftRole::PreCandidate;
-  elections_since_start_ = std::min(elections_since_start_ + 1, kMostDoublings);
+  elections_since_start_ = std::min(elections_since_start_ + 1, kMaxTimeoutDoublings);
   leader_ = 0;
   resetElectionTimer();
   campaign(v1::RAFT_PRE_VOTE, term() + 1, false);
@@ -54,12 +54,12 @@
   transfer_target_ = 0;
   progress_.clear();
   round_ticks_.clear();
-  quorum_tick_ = 0;
+  last_quorum_tick_ = 0;
   check_quorum_due_ = now_ + options_.election_ticks;
   refreshMembership();
-  appendOwn(v1::RaftEntry{});
+  appendAsLeader(v1::RaftEntry{});
   term_start_index_ = log_.lastIndex();
-  startReadRound();
+  startHeartbeatRound();
 }
 
 void RaftNode::campaign(v1::RaftMessageType type, uint64_t campaign_term, bool transfer) {
@@ -85,7 +85,7 @@
   const bool up_to_date =
       message.log_term() > log_.lastTerm() ||
       (message.log_term() == log_.lastTerm() && message.log_index() >= log_.lastIndex());
-  const bool leader_alive = heardLeaderRecently() && !message.leader_transfer();
+  const bool leader_alive = hasRecentLeaderContact() && !message.leader_transfer();
   const bool free_to_vote =
       pre_vote ? message.term() > term()
                : message.term() == term() &&
@@ -139,21 +139,22 @@
   return static_cast<size_t>(granted) >= quorum();
 }
 
-bool RaftNode::heardLeaderRecently() const {
+bool RaftNode::hasRecentLeaderContact() const {
   if (role_ == RaftRole::Leader) {
     return hasLeaderLease();
   }
-  if (options_.hold_votes_after_restart && restarted_ && now_ < options_.election_ticks) {
+  if (options_.withhold_votes_after_restart && restarted_ && now_ < options_.election_ticks) {
     // What this replica heard before it started is not known: a leader may rely on it.
     return true;
   }
   // A leader that is heard before the first tick counts as heard at it.
-  return leader_ != 0 && leader_tick_ != 0 && now_ < leader_tick_ + options_.election_ticks;
+  return leader_ != 0 && last_leader_tick_ != 0 &&
+         now_ < last_leader_tick_ + options_.election_ticks;
 }
 
 void RaftNode::resetElectionTimer() {
   const uint64_t first_ticks = uint64_t{options_.first_election_ticks} << elections_since_start_;
-  if (leader_tick_ == 0 && first_ticks != 0 && first_ticks < options_.election_ticks) {
+  if (last_leader_tick_ == 0 && first_ticks != 0 && first_ticks < options_.election_ticks) {
     election_deadline_ = now_ + 1 + random_.below(static_cast<uint32_t>(first_ticks));
     return;
   }
@@ -164,7 +165,7 @@
   check_quorum_due_ = now_ + options_.election_ticks;
   size_t active = isVoter(id_) ? 1 : 0;
   for (const auto& [member, progress] : progress_) {
-    if (isVoter(member) && now_ - progress.active_tick <= options_.election_ticks) {
+    if (isVoter(member) && now_ - progress.last_reply_tick <= options_.election_ticks) {
       ++active;
     }
   }
@@ -181,11 +182,11 @@
     return true;
   }
   // One tick less than the followers wait, for the difference between two tick counters.
-  return quorum_tick_ != 0 && now_ - quorum_tick_ + 1 < options_.election_ticks;
+  return last_quorum_tick_ != 0 && now_ - last_quorum_tick_ + 1 < options_.election_ticks;
 }
 
 bool RaftNode::committedInTerm() const {
-  return role_ == RaftRole::Leader && commit_ >= term_start_index_;
+  return role_ == RaftRole::Leader && commit_index_ >= term_start_index_;
 }
 
 } // namespace workshatch::raft
--- a/src/core/raft/raft_log.h
+++ b/src/core/raft/raft_log.h
@@ -57,7 +57,7 @@
   v1::RaftMembership membershipAt(uint64_t index) const;
 
   /// Base entry and all entries, as a new log file holds them.
-  const std::vector<v1::RaftEntry>& withBase() const { return entries_; }
+  const std::vector<v1::RaftEntry>& entriesWithBase() const { return entries_; }
 
 private:
   v1::RaftSnapshot snapshot_;
--- a/src/core/raft/raft_node.cc
+++ b/src/core/raft/raft_node.cc
@@ -10,10 +10,10 @@
 RaftNode::RaftNode(uint64_t id, RaftOptions options, Random& random, RaftRecovery recovery)
     : id_(id), options_(options), restarted_(recovery.hard_state.term() != 0), random_(random),
       hard_state_(std::move(recovery.hard_state)), log_(std::move(recovery.log)) {
-  commit_ = log_.snapshot().index();
-  handed_out_ = commit_;
-  stable_ = log_.lastIndex();
-  writing_ = stable_;
+  commit_index_ = log_.snapshot().index();
+  delivered_index_ = commit_index_;
+  durable_index_ = log_.lastIndex();
+  submitted_index_ = durable_index_;
   refreshMembership();
   resetElectionTimer();
 }
@@ -29,7 +29,7 @@
       return;
     }
     if (role_ == RaftRole::Leader && now_ >= heartbeat_due_) {
-      startReadRound();
+      startHeartbeatRound();
     }
     return;
   }
@@ -45,7 +45,7 @@
   const bool pre_vote = message.type() == v1::RAFT_PRE_VOTE ||
                         (message.type() == v1::RAFT_PRE_VOTE_REPLY && !message.reject());
   const bool vote_during_lease =
-      message.type() == v1::RAFT_VOTE && !message.leader_transfer() && heardLeaderRecently();
+      message.type() == v1::RAFT_VOTE && !message.leader_transfer() && hasRecentLeaderContact();
   if (message.term() > term() && !pre_vote && !vote_during_lease) {
     const bool from_leader =
         message.type() == v1::RAFT_APPEND || message.type() == v1::RAFT_INSTALL_SNAPSHOT;
@@ -83,7 +83,7 @@
   }
   v1::RaftEntry entry;
   entry.set_command(std::move(command));
-  appendOwn(std::move(entry));
+  appendAsLeader(std::move(entry));
   broadcastAppend();
   return log_.lastIndex();
 }
@@ -96,14 +96,14 @@
   }
   v1::RaftEntry entry;
   *entry.mutable_membership() = membership;
-  appendOwn(std::move(entry));
+  appendAsLeader(std::move(entry));
   refreshMembership();
   broadcastAppend();
   return log_.lastIndex();
 }
 
 bool RaftNode::membershipCommitted() const {
-  for (uint64_t index = commit_ + 1; index <= log_.lastIndex(); ++index) {
+  for (uint64_t index = commit_index_ + 1; index <= log_.lastIndex(); ++index) {
     if (log_.at(index).has_membership()) {
       return false;
     }
@@ -117,9 +117,10 @@
     return;
   }
   // Answered by the next round: one that starts after the read was asked for.
-  pending_reads_.push_back(PendingRead{.context = context, .index = commit_, .round = round_ + 1});
+  pending_reads_.push_back(
+      PendingRead{.context = context, .index = commit_index_, .round = round_ + 1});
   if (voterCount() == 1 || pending_reads_.size() == 1) {
-    startReadRound();
+    startHeartbeatRound();
   }
 }
 
@@ -130,7 +131,7 @@
   uint64_t best = 0;
   for (const auto& [member, progress] : progress_) {
     const bool candidate =
-        isVoter(member) && now_ - progress.active_tick <= options_.election_ticks;
+        isVoter(member) && now_ - progress.last_reply_tick <= options_.election_ticks;
     if (candidate && (best == 0 || progress.match > progress_[best].match)) {
       best = member;
     }
@@ -155,25 +156,25 @@
     ready_.hard_state = hard_state_;
     hard_state_changed_ = false;
   }
-  for (uint64_t index = writing_ + 1; index <= log_.lastIndex(); ++index) {
+  for (uint64_t index = submitted_index_ + 1; index <= log_.lastIndex(); ++index) {
     ready_.entries.push_back(log_.at(index));
   }
-  writing_ = log_.lastIndex();
-  for (; handed_out_ < commit_; ++handed_out_) {
-    ready_.committed.push_back(log_.at(handed_out_ + 1));
+  submitted_index_ = log_.lastIndex();
+  for (; delivered_index_ < commit_index_; ++delivered_index_) {
+    ready_.committed.push_back(log_.at(delivered_index_ + 1));
   }
   return std::exchange(ready_, RaftReady{});
 }
 
 void RaftNode::persisted() {
-  stable_ = std::min(writing_, log_.lastIndex());
+  durable_index_ = std::min(submitted_index_, log_.lastIndex());
   if (role_ == RaftRole::Leader) {
     advanceCommit();
   }
 }
 
 void RaftNode::compact(uint64_t index, std::string state) {
-  WORKSHATCH_CHECK(index <= handed_out_, "snapshot above the applied index");
+  WORKSHATCH_CHECK(index <= delivered_index_, "snapshot above the applied index");
   v1::RaftSnapshot snapshot;
   snapshot.set_index(index);
   snapshot.set_term(log_.termAt(index));
@@ -184,7 +185,7 @@
 
 uint64_t RaftNode::matchIndex(uint64_t member) const {
   if (member == id_) {
-    return stable_;
+    return durable_index_;
   }
   const auto found = progress_.find(member);
   return found == progress_.end() ? 0 : found->second.match;
@@ -192,7 +193,7 @@
 
 uint64_t RaftNode::ticksSinceReply(uint64_t member) const {
   const auto found = progress_.find(member);
-  return found == progress_.end() ? 0 : now_ - found->second.active_tick;
+  return found == progress_.end() ? 0 : now_ - found->second.last_reply_tick;
 }
 
 void RaftNode::send(v1::RaftMessage message) {
@@ -219,14 +220,14 @@
     } else {
       Progress progress;
       progress.next = log_.lastIndex() + 1;
-      progress.active_tick = now_;
+      progress.last_reply_tick = now_;
       kept.emplace(member.id(), progress);
     }
   }
   progress_ = std::move(kept);
 }
 
-bool votesIn(const v1::RaftMembership& membership, uint64_t member) {
+bool isVoterOf(const v1::RaftMembership& membership, uint64_t member) {
   return std::any_of(membership.members().begin(), membership.members().end(),
                      [member](const v1::RaftMember& candidate) {
                        return candidate.id() == member && !candidate.learner();
--- a/src/core/raft/raft_node.h
+++ b/src/core/raft/raft_node.h
@@ -30,7 +30,7 @@
   uint32_t first_election_ticks = 0;
   /// A replica that started lately votes for nobody, since a leader may still rely on its lease.
   /// Without it `hasLeaderLease` promises nothing, and only confirmed reads may be relied on.
-  bool hold_votes_after_restart = true;
+  bool withhold_votes_after_restart = true;
   /// Entries kept before a snapshot, for followers that lag a little.
   uint64_t trailing_entries = 1000;
   size_t max_append_bytes = 1U << 20U;
@@ -71,7 +71,7 @@
 };
 
 /// @return whether `member` is a voter of `membership`.
-bool votesIn(const v1::RaftMembership& membership, uint64_t member);
+bool isVoterOf(const v1::RaftMembership& membership, uint64_t member);
 
 enum class RaftRole { Follower, PreCandidate, Candidate, Leader };
 
@@ -120,7 +120,7 @@
   /// Identity of the leader of this term as far as known; zero: not known.
   uint64_t leader() const { return leader_; }
   const v1::RaftHardState& hardState() const { return hard_state_; }
-  uint64_t commitIndex() const { return commit_; }
+  uint64_t commitIndex() const { return commit_index_; }
   const RaftLog& log() const { return log_; }
   v1::RaftMembership membership() const { return membership_; }
   /// Index up to which a member's log is known to match; leader only.
@@ -130,20 +130,20 @@
   uint64_t ticksSinceReply(uint64_t member) const;
 
   /// @return whether a majority answered a heartbeat that was sent less than an election timeout
-  /// ago. With `hold_votes_after_restart`, no other replica can have become leader then.
+  /// ago. With `withhold_votes_after_restart`, no other replica can have become leader then.
   bool hasLeaderLease() const;
 
   /// @return whether the leader has committed an entry of its own term.
   bool committedInTerm() const;
 
 private:
-  static constexpr uint32_t kMostDoublings = 8;
+  static constexpr uint32_t kMaxTimeoutDoublings = 8;
 
   struct Progress {
     uint64_t match = 0;
     uint64_t next = 1;
     /// Tick of the last reply, for check-quorum.
-    uint64_t active_tick = 0;
+    uint64_t last_reply_tick = 0;
     /// Highest heartbeat round that was answered.
     uint64_t round = 0;
     /// Tick at which a snapshot was last sent; zero: none outstanding.
@@ -166,12 +166,12 @@
   void handleVoteReply(const v1::RaftMessage& message);
   void handleTimeoutNow(const v1::RaftMessage& message);
   bool wonElection() const;
-  bool heardLeaderRecently() const;
+  bool hasRecentLeaderContact() const;
   void resetElectionTimer();
   void checkQuorum();
 
   // Replication (raft_replication.cc).
-  void appendOwn(v1::RaftEntry entry);
+  void appendAsLeader(v1::RaftEntry entry);
   void broadcastAppend();
   void sendAppend(uint64_t peer, bool heartbeat);
   void sendSnapshot(uint64_t peer, Progress& progress);
@@ -182,7 +182,7 @@
   uint64_t conflictHint(uint64_t index) const;
   void advanceCommit();
   void commitTo(uint64_t index);
-  void startReadRound();
+  void startHeartbeatRound();
   void confirmReads();
   void failReads();
   uint64_t quorumRound() const;
@@ -191,7 +191,7 @@
   // Shared.
   void send(v1::RaftMessage message);
   void refreshMembership();
-  bool isVoter(uint64_t member) const { return votesIn(membership_, member); }
+  bool isVoter(uint64_t member) const { return isVoterOf(membership_, member); }
   size_t voterCount() const;
   size_t quorum() const { return (voterCount() / 2) + 1; }
 
@@ -207,17 +207,17 @@
   v1::RaftMembership membership_;
   RaftRole role_ = RaftRole::Follower;
   uint64_t leader_ = 0;
-  uint64_t commit_ = 0;
+  uint64_t commit_index_ = 0;
   /// Last index handed out as committed.
-  uint64_t handed_out_ = 0;
+  uint64_t delivered_index_ = 0;
   /// Last index that is durable here.
-  uint64_t stable_ = 0;
+  uint64_t durable_index_ = 0;
   /// Last index handed out for writing.
-  uint64_t writing_ = 0;
+  uint64_t submitted_index_ = 0;
 
   uint64_t now_ = 0;
   /// Tick of the last message of the present leader; zero: never.
-  uint64_t leader_tick_ = 0;
+  uint64_t last_leader_tick_ = 0;
   uint64_t election_deadline_ = 0;
   /// Elections that this replica stood for, as far as its first timeouts depend on them.
   uint32_t elections_since_start_ = 0;
@@ -234,7 +234,7 @@
   /// Leader: tick at which each round that is not yet answered by a majority was sent.
   std::map<uint64_t, uint64_t> round_ticks_;
   /// Leader: tick of sending of the newest round that a majority answered.
-  uint64_t quorum_tick_ = 0;
+  uint64_t last_quorum_tick_ = 0;
   std::vector<PendingRead> pending_reads_;
   uint64_t term_start_index_ = 0;
 
--- a/src/core/raft/raft_replication.cc
+++ b/src/core/raft/raft_replication.cc
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void RaftNode::appendOwn(v1::RaftEntry entry) {
+void RaftNode::appendAsLeader(v1::RaftEntry entry) {
   entry.set_index(log_.lastIndex() + 1);
   entry.set_term(term());
   log_.append(std::move(entry));
@@ -27,7 +27,7 @@
   }
 }
 
-void RaftNode::startReadRound() {
+void RaftNode::startHeartbeatRound() {
   heartbeat_due_ = now_ + options_.heartbeat_ticks;
   ++round_;
   round_ticks_[round_] = now_;
@@ -56,7 +56,7 @@
   message.set_to(peer);
   message.set_log_index(previous);
   message.set_log_term(log_.termAt(previous));
-  message.set_commit(commit_);
+  message.set_commit(commit_index_);
   message.set_round(round_);
   progress.next += entries.size();
   for (v1::RaftEntry& entry : entries) {
@@ -70,7 +70,7 @@
   const bool outstanding = progress.snapshot_tick != 0 && now_ - progress.snapshot_tick < retry;
   v1::RaftMessage message;
   message.set_to(peer);
-  message.set_commit(commit_);
+  message.set_commit(commit_index_);
   message.set_round(round_);
   if (outstanding) {
     // A heartbeat at the base keeps the follower from standing for election meanwhile.
@@ -99,12 +99,12 @@
     becomeFollower(message.term(), message.from());
   }
   leader_ = message.from();
-  leader_tick_ = std::max<uint64_t>(now_, 1);
+  last_leader_tick_ = std::max<uint64_t>(now_, 1);
   resetElectionTimer();
 
-  if (message.log_index() < commit_) {
+  if (message.log_index() < commit_index_) {
     // Committed entries match the leader's by definition.
-    reply.set_match_index(commit_);
+    reply.set_match_index(commit_index_);
   } else if (log_.contains(message.log_index()) &&
              log_.termAt(message.log_index()) == message.log_term()) {
     appendFromLeader(message);
@@ -125,14 +125,14 @@
       if (log_.termAt(entry.index()) == entry.term()) {
         continue;
       }
-      WORKSHATCH_CHECK(entry.index() > commit_, "a committed entry would be replaced");
+      WORKSHATCH_CHECK(entry.index() > commit_index_, "a committed entry would be replaced");
       log_.truncateFrom(entry.index());
-      if (entry.index() <= writing_) {
+      if (entry.index() <= submitted_index_) {
         const uint64_t previous = ready_.truncate_from;
         ready_.truncate_from = previous == 0 ? entry.index() : std::min(previous, entry.index());
       }
-      writing_ = std::min(writing_, entry.index() - 1);
-      stable_ = std::min(stable_, entry.index() - 1);
+      submitted_index_ = std::min(submitted_index_, entry.index() - 1);
+      durable_index_ = std::min(durable_index_, entry.index() - 1);
       membership_changed = true;
     }
     log_.append(entry);
@@ -148,12 +148,12 @@
     return log_.lastIndex();
   }
   if (!log_.contains(index)) {
-    return commit_;
+    return commit_index_;
   }
   // Skips the whole term that conflicts, but nothing committed.
   const uint64_t conflict_term = log_.termAt(index);
   uint64_t hint = index;
-  while (hint > commit_ && hint > log_.baseIndex() && log_.termAt(hint) == conflict_term) {
+  while (hint > commit_index_ && hint > log_.baseIndex() && log_.termAt(hint) == conflict_term) {
     --hint;
   }
   return hint;
@@ -168,7 +168,7 @@
     return;
   }
   Progress& progress = found->second;
-  progress.active_tick = now_;
+  progress.last_reply_tick = now_;
   progress.round = std::max(progress.round, message.round());
   confirmReads();
   if (message.reject()) {
@@ -212,27 +212,27 @@
     becomeFollower(message.term(), message.from());
   }
   leader_ = message.from();
-  leader_tick_ = std::max<uint64_t>(now_, 1);
+  last_leader_tick_ = std::max<uint64_t>(now_, 1);
   resetElectionTimer();
   const v1::RaftSnapshot& snapshot = message.snapshot();
   const bool has_entry =
       log_.contains(snapshot.index()) && log_.termAt(snapshot.index()) == snapshot.term();
-  if (snapshot.index() > commit_ && has_entry) {
+  if (snapshot.index() > commit_index_ && has_entry) {
     // What stands behind the snapshot may have been acknowledged; the log stays (rule 6 of
     // InstallSnapshot in the paper).
     commitTo(snapshot.index());
-  } else if (snapshot.index() > commit_) {
+  } else if (snapshot.index() > commit_index_) {
     log_.restore(snapshot);
     ready_.snapshot = snapshot;
     ready_.truncate_from = 0;
     ready_.committed.clear();
-    commit_ = snapshot.index();
-    handed_out_ = commit_;
-    stable_ = commit_;
-    writing_ = commit_;
+    commit_index_ = snapshot.index();
+    delivered_index_ = commit_index_;
+    durable_index_ = commit_index_;
+    submitted_index_ = commit_index_;
     refreshMembership();
   }
-  reply.set_match_index(commit_);
+  reply.set_match_index(commit_index_);
   send(std::move(reply));
 }
 
@@ -249,7 +249,7 @@
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const uint64_t agreed = matches[quorum() - 1];
   // Only entries of the leader's own term are committed by counting replicas.
-  if (agreed <= commit_ || log_.termAt(agreed) != term()) {
+  if (agreed <= commit_index_ || log_.termAt(agreed) != term()) {
     return;
   }
   commitTo(agreed);
@@ -257,12 +257,12 @@
     // An empty append carries the new commit index without waiting for the next heartbeat.
     sendAppend(peer, true);
   }
-  if (!votesIn(log_.membershipAt(commit_), id_)) {
+  if (!isVoterOf(log_.membershipAt(commit_index_), id_)) {
     becomeFollower(term(), 0);
   }
 }
 
-void RaftNode::commitTo(uint64_t index) { commit_ = std::max(commit_, index); }
+void RaftNode::commitTo(uint64_t index) { commit_index_ = std::max(commit_index_, index); }
 
 uint64_t RaftNode::roundOf(uint64_t member) const {
   if (member == id_) {
@@ -293,7 +293,7 @@
   const uint64_t answered = quorumRound();
   auto sent = round_ticks_.upper_bound(answered);
   if (sent != round_ticks_.begin()) {
-    quorum_tick_ = std::max(quorum_tick_, std::prev(sent)->second);
+    last_quorum_tick_ = std::max(last_quorum_tick_, std::prev(sent)->second);
     round_ticks_.erase(round_ticks_.begin(), sent);
   }
   const auto confirmed = [&](const PendingRead& read) { return read.round <= answered; };
--- a/src/core/relay/cold_runners.h
+++ b/src/core/relay/cold_runners.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "core/relay/configuration.h"
-#include "core/relay/place_pace.h"
 #include "core/relay/runner.h"
+#include "core/relay/slot_rate_limiter.h"
 
 namespace workshatch::relay {
 
@@ -34,10 +34,10 @@
   void setServices(const std::vector<Service>& services);
 
   /// Notes that the list says how long the runner stays cold.
-  void noteTold(Runner& runner, uint32_t cold_ms, int64_t now_ms) const;
+  void recordReportedCold(Runner& runner, uint32_t cold_ms, int64_t now_ms) const;
   /// Notes that the runner's process has started, or may have: it came into the list, refused a
   /// connection, or its zone is taken back into use.
-  void noteStarted(Runner& runner, int64_t now_ms) const;
+  void recordProcessStart(Runner& runner, int64_t now_ms) const;
 
   /// Milliseconds for which the runner counts as cold; zero: it is not, or bears what a warm one
   /// does.
@@ -45,18 +45,18 @@
 
   /// @return how many requests a cold runner of the service may get; unlimited where it is not
   /// told.
-  PaceLimit paceOf(const std::string& service) const;
+  RateLimit paceLimitFor(const std::string& service) const;
 
 private:
-  struct Bearing {
+  struct ColdCapacity {
     int64_t cold_ms = 0;
-    PaceLimit pace;
+    RateLimit pace;
   };
 
   const double factor_;
   const double slack_;
   /// Services whose cold runners bear less than warm ones.
-  std::map<std::string, Bearing> services_;
+  std::map<std::string, ColdCapacity> services_;
 };
 
 } // namespace workshatch::relay
--- a/src/core/relay/whole_runs.cc
+++ b/src/core/relay/completed_requests.cc
@@ -1,4 +1,4 @@
-#include "core/relay/whole_runs.h"
+#include "core/relay/completed_requests.h"
 
 #include <utility>
 
@@ -10,12 +10,12 @@
 /// always known.
 constexpr int64_t kPeriodMs = 30'000;
 /// A relay of 10 requests a second sees some 300 in a period; 4,096 take some 250 kB.
-constexpr size_t kMostInPeriod = 4096;
+constexpr size_t kMaxInPeriod = 4096;
 
 } // namespace
 
-void WholeRuns::forgetOld(int64_t now_ms) {
-  if (now_ms - period_began_ms_ < kPeriodMs && newer_.size() < kMostInPeriod) {
+void CompletedRequests::rotate(int64_t now_ms) {
+  if (now_ms - period_began_ms_ < kPeriodMs && newer_.size() < kMaxInPeriod) {
     return;
   }
   // After a long pause the newer ones are old as well.
@@ -25,13 +25,13 @@
   period_began_ms_ = now_ms;
 }
 
-void WholeRuns::note(const RequestIdentity& request, int64_t now_ms) {
-  forgetOld(now_ms);
+void CompletedRequests::record(const RequestIdentity& request, int64_t now_ms) {
+  rotate(now_ms);
   newer_.insert(request);
 }
 
-bool WholeRuns::contains(const RequestIdentity& request, int64_t now_ms) {
-  forgetOld(now_ms);
+bool CompletedRequests::contains(const RequestIdentity& request, int64_t now_ms) {
+  rotate(now_ms);
   return newer_.contains(request) || older_.contains(request);
 }
 
--- a/src/core/relay/whole_runs.h
+++ b/src/core/relay/completed_requests.h
@@ -18,13 +18,13 @@
 /// Memory is bounded however many different requests come: many new ones push old ones out, which
 /// takes their protection away and nothing else.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class WholeRuns {
+class CompletedRequests {
 public:
-  void note(const RequestIdentity& request, int64_t now_ms);
+  void record(const RequestIdentity& request, int64_t now_ms);
   bool contains(const RequestIdentity& request, int64_t now_ms);
 
 private:
-  void forgetOld(int64_t now_ms);
+  void rotate(int64_t now_ms);
 
   /// Those of the present period, and of the one before.
   std::set<RequestIdentity> newer_;
--- a/src/core/relay/configuration.cc
+++ b/src/core/relay/configuration.cc
@@ -56,7 +56,7 @@
 
 } // namespace
 
-std::optional<Error> findFault(const Configuration& configuration) {
+std::optional<Error> findConfigurationError(const Configuration& configuration) {
   std::set<std::string> services;
   for (const Service& service : configuration.services) {
     if (!services.insert(service.name).second) {
--- a/src/core/relay/configuration.h
+++ b/src/core/relay/configuration.h
@@ -57,10 +57,10 @@
   /// Runners are model engines with a prompt cache.
   bool model_engine = false;
   /// Tokens that one engine keeps; zero: not told.
-  uint64_t engine_tokens = 0;
+  uint64_t kv_capacity_tokens = 0;
   /// Bytes that a token takes in an engine's memory, and bandwidth between engines in Mbit/s; zero:
   /// not told.
-  double token_bytes = 0;
+  double kv_token_bytes = 0;
   double engine_link_mbps = 0;
   /// Seconds for which a runner is cold after its start.
   double cold_s = 0;
@@ -95,6 +95,6 @@
 };
 
 /// @return what makes the configuration invalid, naming the entry at fault, or nothing.
-std::optional<Error> findFault(const Configuration& configuration);
+std::optional<Error> findConfigurationError(const Configuration& configuration);
 
 } // namespace workshatch::relay
--- a/src/core/relay/event_splitter.cc
+++ b/src/core/relay/event_splitter.cc
@@ -41,7 +41,7 @@
 
 } // namespace
 
-std::optional<WholeEvent> EventSplitter::next() {
+std::optional<CompleteEvent> EventSplitter::next() {
   while (true) {
     const size_t line_end = buffer_.find('\n', searched_);
     if (line_end == std::string::npos) {
@@ -60,7 +60,7 @@
       continue;
     }
     const size_t length = line_end + 1 + blank;
-    WholeEvent event;
+    CompleteEvent event;
     event.bytes = buffer_.substr(0, length);
     event.id = idOf(event.bytes);
     buffer_.erase(0, length);
--- a/src/core/relay/event_splitter.h
+++ b/src/core/relay/event_splitter.h
@@ -9,7 +9,7 @@
 namespace workshatch::relay {
 
 /// One event as its runner wrote it, blank line included.
-struct WholeEvent {
+struct CompleteEvent {
   std::string bytes;
   /// Value of the event's `id` field; empty: it has none.
   std::string id;
@@ -22,7 +22,7 @@
   void feed(std::string_view bytes) { buffer_.append(bytes); }
 
   /// The next whole event, if there is one.
-  std::optional<WholeEvent> next();
+  std::optional<CompleteEvent> next();
 
   /// @return whether bytes of an unfinished event are left.
   bool hasPartialEvent() const { return !buffer_.empty(); }
--- a/src/core/relay/first_lease.h
+++ b/src/core/relay/first_lease.h
@@ -11,20 +11,21 @@
 /// all processes the group elects a leader within 100 ms, but machines come back one after the
 /// other: leases came 50 to 560 ms after the relays' start, by the logs of ten relays after a loss
 /// of power.
-inline constexpr int64_t kFirstLeaseMs = 600;
+inline constexpr int64_t kFirstLeaseExpectedMs = 600;
 
 /// Part of a caller's patience for which its request may wait. Patience is 6 to 33 times the
 /// objective on the deployments known, so the wait takes a fifth of the objective to all of it. A
 /// larger part would bring more answers late that another relay could have given in time.
-inline constexpr double kFirstLeaseWaitPart = 0.03;
+inline constexpr double kFirstLeaseWaitFraction = 0.03;
 
 /// @param since_start_ms time since the relay's process started
 /// @param patience_ms time for which the caller waits at most
 /// @return milliseconds; zero: no lease is expected so soon that to wait serves the caller
 inline int64_t firstLeaseWaitMs(int64_t since_start_ms, int64_t patience_ms) {
   const auto allowed_ms =
-      static_cast<int64_t>(kFirstLeaseWaitPart * static_cast<double>(patience_ms));
-  return std::clamp<int64_t>(kFirstLeaseMs - since_start_ms, 0, std::max<int64_t>(allowed_ms, 0));
+      static_cast<int64_t>(kFirstLeaseWaitFraction * static_cast<double>(patience_ms));
+  return std::clamp<int64_t>(kFirstLeaseExpectedMs - since_start_ms, 0,
+                             std::max<int64_t>(allowed_ms, 0));
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/group_state.cc
+++ b/src/core/relay/group_state.cc
@@ -73,7 +73,7 @@
   if (held) {
     requests->erase(place);
   } else {
-    if (static_cast<size_t>(requests->size()) >= kMostQuarantined) {
+    if (static_cast<size_t>(requests->size()) >= kMaxQuarantined) {
       requests->erase(requests->begin());
     }
     *requests->Add() = std::move(*order.mutable_request());
@@ -97,11 +97,11 @@
   }
 }
 
-bool isUnderWay(const v1::Rollout& rollout) {
+bool isInProgress(const v1::Rollout& rollout) {
   return rollout.phase() == v1::ROLLOUT_CANARY || rollout.phase() == v1::ROLLOUT_PROMOTING;
 }
 
-const v1::Rollout* rolloutOf(const v1::RolloutList& rollouts, const std::string& service) {
+const v1::Rollout* findRollout(const v1::RolloutList& rollouts, const std::string& service) {
   const auto& held = rollouts.rollouts();
   const auto found = std::find_if(held.begin(), held.end(), [&](const v1::Rollout& rollout) {
     return rollout.service() == service;
@@ -117,7 +117,7 @@
       rollouts->begin(), rollouts->end(), rollout.service(),
       [](const v1::Rollout& held, const std::string& service) { return held.service() < service; });
   const bool held = place != rollouts->end() && place->service() == rollout.service();
-  if (held && isUnderWay(*place)) {
+  if (held && isInProgress(*place)) {
     return Change::None;
   }
   rollout.set_phase(v1::ROLLOUT_CANARY);
@@ -140,7 +140,7 @@
         rollout.phase() == v1::ROLLOUT_CANARY && verdict.phase() == v1::ROLLOUT_PROMOTING;
     const bool succeeds =
         rollout.phase() == v1::ROLLOUT_PROMOTING && verdict.phase() == v1::ROLLOUT_SUCCEEDED;
-    const bool rolls_back = isUnderWay(rollout) && verdict.phase() == v1::ROLLOUT_ROLLED_BACK;
+    const bool rolls_back = isInProgress(rollout) && verdict.phase() == v1::ROLLOUT_ROLLED_BACK;
     if (meant && (promotes || succeeds || rolls_back)) {
       rollout.set_phase(verdict.phase());
       state_.mutable_rollouts()->set_version(index);
@@ -150,7 +150,7 @@
   return Change::None;
 }
 
-std::vector<std::string> zoneNames(const v1::EvacuationList& evacuations) {
+std::vector<std::string> evacuatedZoneNames(const v1::EvacuationList& evacuations) {
   std::vector<std::string> names;
   for (const v1::EvacuatedZone& zone : evacuations.zones()) {
     names.push_back(zone.zone());
--- a/src/core/relay/group_state.h
+++ b/src/core/relay/group_state.h
@@ -16,13 +16,13 @@
 /// Guarantees: the configuration's version only grows, and the content under a version never
 /// changes; a zone is evacuated exactly when the last committed order about it began an evacuation;
 /// a request is in quarantine exactly when the last committed order about it put it there, unless
-/// `kMostQuarantined` others came after it; a service has one rollout at most that is not over, and
+/// `kMaxQuarantined` others came after it; a service has one rollout at most that is not over, and
 /// a rollout's phases follow one another as `RolloutPhase` tells.
 /// Deterministic; not safe for concurrent use.
 class GroupState {
 public:
   /// The oldest give way to new ones. Some 12 kB, which each relay gets with its first lease.
-  static constexpr size_t kMostQuarantined = 256;
+  static constexpr size_t kMaxQuarantined = 256;
 
   enum class Change {
     /// The state is as before; also for bytes that are no command.
@@ -65,12 +65,12 @@
 const char* nameOf(v1::RolloutPhase phase);
 
 /// @return the last rollout of the service; null: it never had one.
-const v1::Rollout* rolloutOf(const v1::RolloutList& rollouts, const std::string& service);
+const v1::Rollout* findRollout(const v1::RolloutList& rollouts, const std::string& service);
 
 /// @return whether the rollout's phase may still change.
-bool isUnderWay(const v1::Rollout& rollout);
+bool isInProgress(const v1::Rollout& rollout);
 
 /// @return the names of the evacuated zones.
-std::vector<std::string> zoneNames(const v1::EvacuationList& evacuations);
+std::vector<std::string> evacuatedZoneNames(const v1::EvacuationList& evacuations);
 
 } // namespace workshatch::relay
--- a/src/core/relay/led_runner_list.cc
+++ b/src/core/relay/leader_runner_list.cc
@@ -1,4 +1,4 @@
-#include "core/relay/led_runner_list.h"
+#include "core/relay/leader_runner_list.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,7 +20,7 @@
 bool sameRunners(const v1::RunnerList& earlier, const v1::RunnerList& later) {
   return std::equal(earlier.runners().begin(), earlier.runners().end(), later.runners().begin(),
                     later.runners().end(), [](const auto& old, const auto& now) {
-                      return sameEntry(old, now) && !turnedCold(old, now);
+                      return sameEntry(old, now) && !becameCold(old, now);
                     });
 }
 
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void LedRunnerList::begin(LeaderVersions& versions, int64_t now_ms) {
+void LeaderRunnerList::begin(LeaderVersions& versions, int64_t now_ms) {
   const bool fresh = read_at_ms_ >= 0 && now_ms - read_at_ms_ < kFreshMs;
   if (fresh) {
     list_.set_version(versions.next());
@@ -43,21 +43,21 @@
   read_at_ms_ = -1;
 }
 
-ListNews LedRunnerList::readWhileLeading(v1::RunnerList list, LeaderVersions& versions) {
+ListChange LeaderRunnerList::updateAsLeader(v1::RunnerList list, LeaderVersions& versions) {
   sortById(list);
   const bool known = list_.version() != 0;
   if (known && sameRunners(list_, list)) {
     const bool same = sameColdTimes(list_, list);
     list.set_version(list_.version());
     list_ = std::move(list);
-    return same ? ListNews::None : ListNews::ColdTimesFell;
+    return same ? ListChange::None : ListChange::ColdTimesReduced;
   }
   list.set_version(versions.next());
   list_ = std::move(list);
-  return ListNews::Runners;
+  return ListChange::Runners;
 }
 
-void LedRunnerList::readWithoutLeader(v1::RunnerList list, int64_t now_ms) {
+void LeaderRunnerList::updateWithoutLeader(v1::RunnerList list, int64_t now_ms) {
   sortById(list);
   list_ = std::move(list);
   list_.set_version(0);
--- a/src/core/relay/led_runner_list.h
+++ b/src/core/relay/leader_runner_list.h
@@ -26,25 +26,25 @@
 };
 
 /// How a list differs from the one read before.
-enum class ListNews {
+enum class ListChange {
   None,
   /// Cold runners have become less cold: told to relays that ask for the whole list.
-  ColdTimesFell,
+  ColdTimesReduced,
   /// Runners came, went, changed or turned cold: told to all relays, under a new version.
   Runners,
 };
 
 /// Keeps the newest list that was read from the platform, with a version while this replica leads.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class LedRunnerList {
+class LeaderRunnerList {
 public:
   /// Begins a leadership. A list that was read just before counts; an older one is dropped, since
   /// runners may have come and gone since.
   void begin(LeaderVersions& versions, int64_t now_ms);
 
   /// Takes a list as it was read. @return what the relays have to be told.
-  ListNews readWhileLeading(v1::RunnerList list, LeaderVersions& versions);
-  void readWithoutLeader(v1::RunnerList list, int64_t now_ms);
+  ListChange updateAsLeader(v1::RunnerList list, LeaderVersions& versions);
+  void updateWithoutLeader(v1::RunnerList list, int64_t now_ms);
 
   /// Version zero: there is none to tell.
   const v1::RunnerList& list() const { return list_; }
--- a/src/core/relay/load_sums.cc
+++ b/src/core/relay/load_totals.cc
@@ -1,4 +1,4 @@
-#include "core/relay/load_sums.h"
+#include "core/relay/load_totals.h"
 
 #include "core/relay/runner_loads.h"
 
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr uint32_t kRelaysToSuspect = 2;
+constexpr uint32_t kMinSuspectingRelays = 2;
 
 } // namespace
 
-void LoadSums::add(const v1::RunnerLoads& report) {
+void LoadTotals::add(const v1::RunnerLoads& report) {
   if (report.list_version() != list_version_) {
     return;
   }
@@ -26,8 +26,8 @@
   }
 }
 
-void LoadSums::addMoved(const v1::RunnerLoads& report,
-                        const std::vector<std::optional<uint32_t>>& positions) {
+void LoadTotals::addFromOlderList(const v1::RunnerLoads& report,
+                                  const std::vector<std::optional<uint32_t>>& positions) {
   const auto counts = countsOf(report, positions.size());
   if (!counts) {
     return;
@@ -44,12 +44,12 @@
   }
 }
 
-v1::RunnerLoads LoadSums::sums() const {
+v1::RunnerLoads LoadTotals::totals() const {
   v1::RunnerLoads sums;
   sums.set_list_version(list_version_);
   setCounts(sums, counts_);
   for (const auto& [position, relays] : suspicions_) {
-    if (relays >= kRelaysToSuspect) {
+    if (relays >= kMinSuspectingRelays) {
       sums.add_suspects(position);
     }
   }
--- a/src/core/relay/placement.cc
+++ b/src/core/relay/placement.cc
@@ -11,115 +11,113 @@
 using Candidates = std::vector<std::shared_ptr<Runner>>;
 
 /// Finalizer of MurmurHash3: nearby numbers give unrelated ones.
-uint64_t mixed(uint64_t number) {
+uint64_t mixBits(uint64_t number) {
   number = (number ^ (number >> 33U)) * 0xff51afd7ed558ccdU;
   number = (number ^ (number >> 33U)) * 0xc4ceb9fe1a85ec53U;
   return number ^ (number >> 33U);
 }
 
-uint32_t capped(const PlacementQuestion& question, uint32_t limit) {
-  return std::min(limit, question.cap_load.value_or(limit));
+uint32_t capped(const PlacementQuery& query, uint32_t limit) {
+  return std::min(limit, query.cap_load.value_or(limit));
 }
 
-uint32_t fullLimit(const PlacementOptions& options, const PlacementQuestion& question,
+uint32_t fullLimit(const PlacementOptions& options, const PlacementQuery& query,
                    const Runner& runner) {
-  return placeLimit(options.places, runner.entry.slots(), question.engine, question.standing);
+  return slotLimit(options.places, runner.entry.slots(), query.engine, query.rank);
 }
 
 /// Up to the load cap, or somewhat over the places.
-uint32_t homeLimit(const PlacementOptions& options, const PlacementQuestion& question,
+uint32_t homeLimit(const PlacementOptions& options, const PlacementQuery& query,
                    const Runner& runner) {
   const uint32_t places = runner.entry.slots();
   if (places == 0) {
-    return capped(question, fullLimit(options, question, runner));
+    return capped(query, fullLimit(options, query, runner));
   }
-  const double served = places / workTimeFactor(runner, question.now_ms);
-  return capped(question, static_cast<uint32_t>(served) + options.home_slack);
+  const double served = places / workTimeFactor(runner, query.now_ms);
+  return capped(query, static_cast<uint32_t>(served) + options.home_slack);
 }
 
 /// Time that a request is expected to take, in times of an idle runner's work.
-double expectedTime(const PlacementQuestion& question, const Runner& runner) {
-  return (runner.load() + 1) * workTimeFactor(runner, question.now_ms);
+double expectedTime(const PlacementQuery& query, const Runner& runner) {
+  return (runner.load() + 1) * workTimeFactor(runner, query.now_ms);
 }
 
 /// @param lot differs from draw to draw of one request
 /// @return of two runners drawn by lot from those after the first `homes`, the one where a request
 /// is expected to take less time.
-std::shared_ptr<Runner> drawRunner(const PlacementQuestion& question, size_t homes, uint64_t lot) {
-  const size_t count = question.candidates.size() - homes;
-  constexpr uint64_t kDrawsOfALot = 2;
-  const uint64_t first_draw = question.standing.draw + kDrawsOfALot * lot;
-  const auto& first = question.candidates[homes + mixed(first_draw) % count];
-  const auto& second = question.candidates[homes + mixed(first_draw + 1) % count];
-  return expectedTime(question, *second) < expectedTime(question, *first) ? second : first;
+std::shared_ptr<Runner> chooseOfTwoRandom(const PlacementQuery& query, size_t homes,
+                                          uint64_t attempt) {
+  const size_t count = query.candidates.size() - homes;
+  constexpr uint64_t kDrawsPerChoice = 2;
+  const uint64_t first_draw = query.rank.draw + kDrawsPerChoice * attempt;
+  const auto& first = query.candidates[homes + mixBits(first_draw) % count];
+  const auto& second = query.candidates[homes + mixBits(first_draw + 1) % count];
+  return expectedTime(query, *second) < expectedTime(query, *first) ? second : first;
 }
 
 /// On a busy service: few homes, each up to its places.
-std::optional<PlaceOffer> offerBusyHome(const PlacementOptions& options,
-                                        const PlacementQuestion& question) {
-  const size_t homes = std::min(options.busy_homes, question.candidates.size());
-  if (question.refused >= homes) {
+std::optional<SlotOffer> offerBusyHome(const PlacementOptions& options,
+                                       const PlacementQuery& query) {
+  const size_t homes = std::min(options.busy_homes, query.candidates.size());
+  if (query.refused >= homes) {
     return std::nullopt;
   }
-  const auto& home = question.candidates[question.refused];
-  return PlaceOffer{.runner = home,
-                    .limit = fullLimit(options, question, *home),
-                    .passed_over = static_cast<uint32_t>(question.refused)};
+  const auto& home = query.candidates[query.refused];
+  return SlotOffer{.runner = home,
+                   .limit = fullLimit(options, query, *home),
+                   .passed_over = static_cast<uint32_t>(query.refused)};
 }
 
 /// The homes up to the load cap, one runner drawn by lot, then the first homes up to their places.
-std::optional<PlaceOffer> offerHome(const PlacementOptions& options,
-                                    const PlacementQuestion& question) {
-  const size_t homes = std::min(options.homes, question.candidates.size());
-  if (question.refused < homes) {
-    const auto& home = question.candidates[question.refused];
-    return PlaceOffer{.runner = home,
-                      .limit = homeLimit(options, question, *home),
-                      .passed_over = static_cast<uint32_t>(question.refused)};
+std::optional<SlotOffer> offerHome(const PlacementOptions& options, const PlacementQuery& query) {
+  const size_t homes = std::min(options.homes, query.candidates.size());
+  if (query.refused < homes) {
+    const auto& home = query.candidates[query.refused];
+    return SlotOffer{.runner = home,
+                     .limit = homeLimit(options, query, *home),
+                     .passed_over = static_cast<uint32_t>(query.refused)};
   }
-  const size_t drawn = question.candidates.size() > homes ? 1 : 0;
-  if (question.refused < homes + drawn) {
-    const auto runner = drawRunner(question, homes, 0);
-    return PlaceOffer{.runner = runner,
-                      .limit = capped(question, fullLimit(options, question, *runner)),
-                      .passed_over = static_cast<uint32_t>(homes)};
+  const size_t drawn = query.candidates.size() > homes ? 1 : 0;
+  if (query.refused < homes + drawn) {
+    const auto runner = chooseOfTwoRandom(query, homes, 0);
+    return SlotOffer{.runner = runner,
+                     .limit = capped(query, fullLimit(options, query, *runner)),
+                     .passed_over = static_cast<uint32_t>(homes)};
   }
-  const size_t again = question.refused - homes - drawn;
-  if (again >= std::min(options.homes_asked_again, homes)) {
+  const size_t again = query.refused - homes - drawn;
+  if (again >= std::min(options.homes_retried, homes)) {
     return std::nullopt;
   }
-  const auto& home = question.candidates[again];
-  return PlaceOffer{.runner = home,
-                    .limit = fullLimit(options, question, *home),
-                    .passed_over = static_cast<uint32_t>(again)};
+  const auto& home = query.candidates[again];
+  return SlotOffer{.runner = home,
+                   .limit = fullLimit(options, query, *home),
+                   .passed_over = static_cast<uint32_t>(again)};
 }
 
 /// Runners drawn by lot, the last of them up to its queue.
-std::optional<PlaceOffer> offerByLot(const PlacementOptions& options,
-                                     const PlacementQuestion& question) {
-  const size_t draws = std::min(options.draws, question.candidates.size());
-  if (question.refused >= draws) {
+std::optional<SlotOffer> offerRandom(const PlacementOptions& options, const PlacementQuery& query) {
+  const size_t random_candidates = std::min(options.random_candidates, query.candidates.size());
+  if (query.refused >= random_candidates) {
     return std::nullopt;
   }
-  const auto runner = drawRunner(question, 0, question.refused);
+  const auto runner = chooseOfTwoRandom(query, 0, query.refused);
   const uint32_t places = runner->entry.slots();
-  const uint32_t limit = fullLimit(options, question, *runner);
-  const bool last = question.refused + 1 == draws;
-  const bool may_wait = last || question.busy || places == 0;
-  return PlaceOffer{.runner = runner, .limit = may_wait ? limit : std::min(limit, places)};
+  const uint32_t limit = fullLimit(options, query, *runner);
+  const bool last = query.refused + 1 == random_candidates;
+  const bool may_wait = last || query.busy || places == 0;
+  return SlotOffer{.runner = runner, .limit = may_wait ? limit : std::min(limit, places)};
 }
 
 } // namespace
 
-std::optional<PlaceOffer> nextOffer(const PlacementOptions& options,
-                                    const PlacementQuestion& question) {
-  if (question.candidates.empty()) {
+std::optional<SlotOffer> nextOffer(const PlacementOptions& options, const PlacementQuery& query) {
+  if (query.candidates.empty()) {
     return std::nullopt;
   }
-  if (!question.by_prompt) {
-    return offerByLot(options, question);
+  if (!query.by_prompt) {
+    return offerRandom(options, query);
   }
-  return question.busy ? offerBusyHome(options, question) : offerHome(options, question);
+  return query.busy ? offerBusyHome(options, query) : offerHome(options, query);
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/placement.h
+++ b/src/core/relay/placement.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <vector>
 
-#include "core/relay/place_limits.h"
 #include "core/relay/runner.h"
+#include "core/relay/slot_limits.h"
 
 namespace workshatch::relay {
 
@@ -30,18 +30,18 @@
   /// load cap as well as the homes: then all are, and the mean load that the cap follows is old. It
   /// lags by one to two seconds; with limits that followed it, 2 in 10 prompts went past all homes
   /// while the load of the fleet was growing.
-  size_t homes_asked_again = 2;
+  size_t homes_retried = 2;
   /// Runners drawn by lot that a request without a shared part asks; the last may let it wait in
   /// the runner's queue.
-  size_t draws = 3;
+  size_t random_candidates = 3;
   /// Requests over its places that a home may have while the service is not busy: they wait there
   /// for less time than it takes to read their prompts elsewhere.
   uint32_t home_slack = 6;
-  PlaceLimitOptions places;
+  SlotLimitOptions places;
 };
 
 /// What the next offer depends on.
-struct PlacementQuestion {
+struct PlacementQuery {
   /// Runners that may be used; for a prompt in the ranking of its shared part.
   const std::vector<std::shared_ptr<Runner>>& candidates;
   /// Offers of this request that were refused so far.
@@ -51,14 +51,14 @@
   bool engine = false;
   /// Most places of the service are taken.
   bool busy = false;
-  Standing standing;
+  RequestRank rank;
   int64_t now_ms = 0;
   /// Load over which no runner is filled while others are below; none while the mean is not known.
   std::optional<uint32_t> cap_load;
 };
 
 /// A runner to ask for a place.
-struct PlaceOffer {
+struct SlotOffer {
   std::shared_ptr<Runner> runner;
   /// Requests in progress there, this one included, up to which the place is taken.
   uint32_t limit = 0;
@@ -67,7 +67,6 @@
 };
 
 /// @return the runner to ask next; nothing: all that the request may ask are full.
-std::optional<PlaceOffer> nextOffer(const PlacementOptions& options,
-                                    const PlacementQuestion& question);
+std::optional<SlotOffer> nextOffer(const PlacementOptions& options, const PlacementQuery& question);
 
 } // namespace workshatch::relay
--- a/src/core/relay/part_directory.h
+++ b/src/core/relay/prefix_directory.h
@@ -12,7 +12,7 @@
 /// A prompt that goes to a runner. Parts and runners are named by their fingerprints.
 struct PromptTarget {
   /// Last shared part of the prompt.
-  uint64_t part = 0;
+  uint64_t prefix = 0;
   /// Shared part before it; zero: none.
   uint64_t parent = 0;
   uint64_t runner = 0;
@@ -22,11 +22,11 @@
   uint32_t parent_copy_us = 0;
 
   /// What names the relay that counts: prompts that share a part ask the same one.
-  uint64_t group() const { return parent == 0 ? part : parent; }
+  uint64_t group() const { return parent == 0 ? prefix : parent; }
 };
 
 /// From which runner a prompt's runner takes the parts that it lacks.
-struct PartSource {
+struct PrefixSource {
   /// False: this relay has not counted for long enough to say.
   bool known = false;
   /// Zero: the runner keeps all that any other does.
@@ -50,49 +50,49 @@
 ///
 /// Guarantee: a runner that was noted as not having got a prompt is not named for it.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class PartDirectory {
+class PrefixDirectory {
 public:
   /// @return whether the runner with this fingerprint can be copied from.
   using Usable = std::function<bool(uint64_t runner)>;
 
   /// Notes that the relays that count have changed: what this one has not been told may be kept.
-  void noteOwnersChanged(int64_t now_ms) { counting_since_ms_ = now_ms; }
+  void recordOwnersChanged(int64_t now_ms) { tracking_since_ms_ = now_ms; }
 
   /// Notes that the prompt goes to its runner, and names a source for it.
-  PartSource sourceFor(const PromptTarget& prompt, const Usable& usable, int64_t now_ms);
+  PrefixSource sourceFor(const PromptTarget& prompt, const Usable& usable, int64_t now_ms);
 
   /// Notes that the prompt did not reach its runner.
-  void noteNotSent(const PromptTarget& prompt);
+  void recordNotDelivered(const PromptTarget& prompt);
 
   /// Drops what was not used for long.
-  void forgetStale(int64_t now_ms);
+  void dropStale(int64_t now_ms);
 
-  size_t partCount() const { return parts_.size(); }
+  size_t prefixCount() const { return prefixes_.size(); }
 
 private:
-  struct Holding {
+  struct HolderState {
     /// When the first prompt with the part went there.
     int64_t since_ms = 0;
     /// When the last did.
     int64_t used_ms = 0;
     /// When it was last named as a source.
-    int64_t named_ms = 0;
+    int64_t last_named_ms = 0;
     /// Until when it makes the copies that it was named for, microseconds.
     int64_t copying_until_us = 0;
   };
   /// By fingerprint of the runner.
-  using Holders = std::unordered_map<uint64_t, Holding>;
+  using Holders = std::unordered_map<uint64_t, HolderState>;
 
   static bool holds(const Holders& holders, uint64_t runner, int64_t now_ms);
   static uint64_t chooseSource(Holders& holders, const PromptTarget& prompt, uint32_t copy_us,
                                const Usable& usable, int64_t now_ms);
-  static void noteUse(Holders& holders, uint64_t runner, int64_t now_ms);
-  void dropHolding(uint64_t part, uint64_t runner);
+  static void recordUse(Holders& holders, uint64_t runner, int64_t now_ms);
+  void dropHolder(uint64_t prefix, uint64_t runner);
 
   /// By fingerprint of the part.
-  std::unordered_map<uint64_t, Holders> parts_;
+  std::unordered_map<uint64_t, Holders> prefixes_;
   /// Empty: no list of relays is known yet.
-  std::optional<int64_t> counting_since_ms_;
+  std::optional<int64_t> tracking_since_ms_;
 };
 
 } // namespace workshatch::relay
--- a/src/core/relay/part_sources.h
+++ b/src/core/relay/prefix_sources.h
@@ -13,9 +13,9 @@
 namespace workshatch::relay {
 
 /// What the choice of a source depends on. The pointers are valid during the call only.
-struct SourceQuestion {
+struct SourceQuery {
   /// Fingerprint of the prompt's last shared part.
-  uint64_t part = 0;
+  uint64_t prefix = 0;
   /// Fingerprint of the shared part before it; zero: none.
   uint64_t parent = 0;
   /// The runner that gets the prompt.
@@ -30,14 +30,14 @@
 /// Knows where this relay sent parts of prompts lately; of parts that only other relays sent, the
 /// ranking of runners tells where they went. Times are milliseconds of the monotonic clock. Not
 /// safe for concurrent use.
-class PartSources {
+class PrefixSources {
 public:
   /// Notes that a prompt with these parts goes to the runner.
-  void noteSent(uint64_t part, uint64_t parent, const std::shared_ptr<Runner>& runner,
-                int64_t now_ms);
+  void recordSent(uint64_t prefix, uint64_t parent, const std::shared_ptr<Runner>& runner,
+                  int64_t now_ms);
 
   /// @return a runner that likely keeps more of the prompt than the chosen one; null: none.
-  std::shared_ptr<Runner> sourceFor(const SourceQuestion& question) const;
+  std::shared_ptr<Runner> sourceFor(const SourceQuery& query) const;
 
 private:
   struct Sent {
@@ -45,10 +45,10 @@
     int64_t at_ms = 0;
   };
 
-  void note(uint64_t part, const std::shared_ptr<Runner>& runner, int64_t now_ms);
-  std::shared_ptr<Runner> lastSentTo(uint64_t part, const SourceQuestion& question) const;
+  void record(uint64_t prefix, const std::shared_ptr<Runner>& runner, int64_t now_ms);
+  std::shared_ptr<Runner> lastSentTo(uint64_t prefix, const SourceQuery& query) const;
 
-  std::unordered_map<uint64_t, Sent> sent_;
+  std::unordered_map<uint64_t, Sent> last_sent_;
 };
 
 } // namespace workshatch::relay
--- a/src/core/relay/read_ahead.cc
+++ b/src/core/relay/read_ahead_budget.cc
@@ -1,17 +1,17 @@
-#include "core/relay/read_ahead.h"
+#include "core/relay/read_ahead_budget.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace workshatch::relay {
 
-ReadAhead::Reader ReadAhead::open(Cut cut) {
+ReadAheadBudget::Reader ReadAheadBudget::open(CancelCallback cut) {
   const Reader reader = next_reader_++;
   readers_.emplace(reader, Held{.cut = std::move(cut)});
   return reader;
 }
 
-void ReadAhead::close(Reader reader) {
+void ReadAheadBudget::close(Reader reader) {
   const auto found = readers_.find(reader);
   if (found != readers_.end()) {
     held_bytes_ -= found->second.held_bytes;
@@ -19,7 +19,7 @@
   }
 }
 
-void ReadAhead::note(Reader reader, size_t held_bytes, uint64_t read_bytes) {
+void ReadAheadBudget::update(Reader reader, size_t held_bytes, uint64_t read_bytes) {
   const auto found = readers_.find(reader);
   if (found == readers_.end()) {
     return;
@@ -34,7 +34,7 @@
   }
 }
 
-void ReadAhead::cutLargest() {
+void ReadAheadBudget::cutLargest() {
   const auto largest =
       std::max_element(readers_.begin(), readers_.end(), [](const auto& left, const auto& right) {
         const Held& one = left.second;
@@ -42,7 +42,7 @@
         return std::pair(one.held_bytes, other.read_bytes) <
                std::pair(other.held_bytes, one.read_bytes);
       });
-  const Cut cut = std::move(largest->second.cut);
+  const CancelCallback cut = std::move(largest->second.cut);
   close(largest->first);
   ++cuts_;
   cut();
--- a/src/core/relay/read_ahead.h
+++ b/src/core/relay/read_ahead_budget.h
@@ -26,32 +26,32 @@
 /// hold as much, the one that has read least: it is the least likely to get its answer in time.
 ///
 /// Not safe for concurrent use.
-class ReadAhead {
+class ReadAheadBudget {
 public:
   using Reader = uint64_t;
   /// Runs when the reader is to be cut, once.
-  using Cut = std::function<void()>;
+  using CancelCallback = std::function<void()>;
 
-  explicit ReadAhead(ReadAheadLimits limits) : limits_(limits) {}
+  explicit ReadAheadBudget(ReadAheadLimits limits) : limits_(limits) {}
 
-  Reader open(Cut cut);
+  Reader open(CancelCallback cut);
   void close(Reader reader);
 
   /// Notes what is held for a reader now, and what it has read so far. May cut a reader, this one
   /// included.
-  void note(Reader reader, size_t held_bytes, uint64_t read_bytes);
+  void update(Reader reader, size_t held_bytes, uint64_t read_bytes);
 
   /// @return whether the reader's runner shall be read no further.
   bool isFull(size_t held_bytes) const { return held_bytes >= limits_.high_bytes; }
   size_t lowBytes() const { return limits_.low_bytes; }
 
-  size_t heldBytes() const { return held_bytes_; }
+  size_t bufferedBytes() const { return held_bytes_; }
   size_t readers() const { return readers_.size(); }
-  uint64_t cuts() const { return cuts_; }
+  uint64_t cancelledReaders() const { return cuts_; }
 
 private:
   struct Held {
-    Cut cut;
+    CancelCallback cut;
     size_t held_bytes = 0;
     uint64_t read_bytes = 0;
   };
--- a/src/core/relay/relay_addresses.cc
+++ b/src/core/relay/relay_addresses.cc
@@ -14,15 +14,15 @@
 
 } // namespace
 
-std::vector<std::string> addressesFor(const v1::RelayList& relays, const ZoneRegions& zones,
-                                      const AddressQuestion& question) {
+std::vector<std::string> selectAddresses(const v1::RelayList& relays, const ZoneRegions& zones,
+                                         const AddressQuery& question) {
   std::vector<std::string> in_zone;
   std::vector<std::string> in_region;
   std::vector<std::string> all;
   const std::string of_zone = zones.regionOf(question.zone);
   const std::string& region = of_zone.empty() ? question.region : of_zone;
   for (const v1::RelayEntry& relay : relays.relays()) {
-    if (relay.address() == question.own_address && !question.in_touch) {
+    if (relay.address() == question.own_address && !question.confirmed_recently) {
       continue;
     }
     all.push_back(relay.address());
--- a/src/core/relay/relay_addresses.h
+++ b/src/core/relay/relay_addresses.h
@@ -11,14 +11,14 @@
 
 namespace workshatch::relay {
 
-struct AddressQuestion {
+struct AddressQuery {
   /// The caller's zone and region; empty: not told.
   std::string zone;
   std::string region;
   /// The relay that answers, and whether the group confirmed it lately. Out of touch it leaves
   /// itself out: it would soon refuse whoever came.
   std::string own_address;
-  bool in_touch = true;
+  bool confirmed_recently = true;
   /// Draws which relays are told where there are too many.
   uint64_t draw = 0;
 };
@@ -26,8 +26,8 @@
 /// @return relays of the caller's zone; of its region where too few are in the zone; of all regions
 /// where too few are in that; never empty. Requests that may run in their caller's region only then
 /// stay in it.
-std::vector<std::string> addressesFor(const v1::RelayList& relays, const ZoneRegions& zones,
-                                      const AddressQuestion& question);
+std::vector<std::string> selectAddresses(const v1::RelayList& relays, const ZoneRegions& zones,
+                                         const AddressQuery& question);
 
 /// How long callers keep an answer, in seconds.
 struct AddressLifetimes {
--- a/src/core/relay/relay_list_history.cc
+++ b/src/core/relay/relay_list_history.cc
@@ -59,7 +59,7 @@
   }
   v1::RelayList added;
   added.mutable_relays()->Swap(update.mutable_added());
-  *update.mutable_more_added() = compression::packMessage(added);
+  *update.mutable_more_added() = compression::compressMessage(added);
 }
 
 } // namespace
@@ -106,7 +106,7 @@
     return Error{"the update is for another list of relays"};
   }
   v1::RelayList added;
-  if (update.has_more_added() && !compression::unpackMessage(update.more_added(), added)) {
+  if (update.has_more_added() && !compression::decompressMessage(update.more_added(), added)) {
     return Error{"the update of the list of relays is damaged"};
   }
   added.mutable_relays()->MergeFrom(update.added());
--- a/src/core/relay/relay_watch.cc
+++ b/src/core/relay/relay_monitor.cc
@@ -1,4 +1,4 @@
-#include "core/relay/relay_watch.h"
+#include "core/relay/relay_monitor.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool RelayWatch::reportedSilent(const std::string& relay, int64_t now_ms) {
+bool RelayMonitor::reportUnanswered(const std::string& relay, int64_t now_ms) {
   const auto found = watched_.find(relay);
   if (found == watched_.end()) {
     return false;
@@ -31,7 +31,7 @@
   return true;
 }
 
-std::vector<std::string> RelayWatch::takeSilent(int64_t period_ms, int64_t now_ms) {
+std::vector<std::string> RelayMonitor::takeSilent(int64_t period_ms, int64_t now_ms) {
   const int64_t silent_ms = std::max(
       kLeastSilentMs, static_cast<int64_t>(kSilentPeriods * static_cast<double>(period_ms)));
   std::vector<std::string> silent;
--- a/src/core/relay/relay_watch.h
+++ b/src/core/relay/relay_monitor.h
@@ -18,16 +18,18 @@
 /// that is gone is known to be after some hundred milliseconds, however many relays there are.
 ///
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class RelayWatch {
+class RelayMonitor {
 public:
   /// Notes a renewal.
-  void heard(const std::string& relay, int64_t now_ms) { watched_[relay] = Watched{now_ms, 0}; }
+  void recordRenewal(const std::string& relay, int64_t now_ms) {
+    watched_[relay] = Watched{now_ms, 0};
+  }
   void forget(const std::string& relay) { watched_.erase(relay); }
   void clear() { watched_.clear(); }
 
   /// Notes that another relay got no answer from this one.
   /// @return whether it shall be asked to renew at once.
-  bool reportedSilent(const std::string& relay, int64_t now_ms);
+  bool reportUnanswered(const std::string& relay, int64_t now_ms);
 
   /// Takes out and returns the relays that renewed nothing for some periods, or not when they were
   /// asked to.
--- a/src/core/relay/renewal_period.h
+++ b/src/core/relay/renewal_period.h
@@ -15,15 +15,15 @@
 
 /// Periods grow with the fleet by so much for each relay, so that all relays together cost the
 /// leader the same however many there are: 333 renewals a second.
-inline constexpr int64_t kPeriodMsForRelay = 3;
+inline constexpr int64_t kPeriodMsPerRelay = 3;
 
 /// The longest period, so that a lease of some seconds outlives two of them.
-inline constexpr int64_t kMostRenewalPeriodMs = 1200;
+inline constexpr int64_t kMaxRenewalPeriodMs = 1200;
 
-/// @return `least_ms`, or more in a large fleet, up to `kMostRenewalPeriodMs`.
-inline int64_t periodForFleet(int64_t least_ms, size_t relays) {
-  return std::clamp(static_cast<int64_t>(relays) * kPeriodMsForRelay, least_ms,
-                    kMostRenewalPeriodMs);
+/// @return `least_ms`, or more in a large fleet, up to `kMaxRenewalPeriodMs`.
+inline int64_t renewalPeriodForFleetMs(int64_t least_ms, size_t relays) {
+  return std::clamp(static_cast<int64_t>(relays) * kPeriodMsPerRelay, least_ms,
+                    kMaxRenewalPeriodMs);
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/waiting_line.cc
+++ b/src/core/relay/request_queues.cc
@@ -1,4 +1,4 @@
-#include "core/relay/waiting_line.h"
+#include "core/relay/request_queues.h"
 
 #include <iterator>
 #include <utility>
@@ -6,40 +6,41 @@
 
 namespace workshatch::relay {
 
-bool WaitingLine::join(const std::string& service, const LinePlace& place, Called called) {
+bool RequestQueues::enqueue(const std::string& service, const QueuePosition& place,
+                            WakeCallback called) {
   Line& line = lines_[service];
   if (line.size() >= most_waiting_) {
     const auto last = std::prev(line.end());
     if (last->first < place) {
       return false;
     }
-    const Called gives_up = std::move(last->second);
+    const WakeCallback gives_up = std::move(last->second);
     line.erase(last);
-    gives_up(Call::GiveUp);
+    gives_up(WakeReason::Evicted);
   }
   lines_[service].emplace(place, std::move(called));
   return true;
 }
 
-void WaitingLine::leave(const std::string& service, const LinePlace& place) {
+void RequestQueues::remove(const std::string& service, const QueuePosition& place) {
   const auto line = lines_.find(service);
   if (line != lines_.end()) {
     line->second.erase(place);
   }
 }
 
-void WaitingLine::callNext(const std::string& service) {
+void RequestQueues::wakeNext(const std::string& service) {
   const auto line = lines_.find(service);
   if (line == lines_.end() || line->second.empty()) {
     return;
   }
   const auto first = line->second.begin();
-  const Called called = std::move(first->second);
+  const WakeCallback called = std::move(first->second);
   line->second.erase(first);
-  called(Call::Try);
+  called(WakeReason::SlotMayBeFree);
 }
 
-void WaitingLine::callNextOfEach() {
+void RequestQueues::wakeNextOfEachService() {
   std::vector<std::string> services;
   for (const auto& [service, line] : lines_) {
     if (!line.empty()) {
@@ -47,17 +48,17 @@
     }
   }
   for (const std::string& service : services) {
-    callNext(service);
+    wakeNext(service);
   }
 }
 
-bool WaitingLine::hasBefore(const std::string& service, uint32_t priority) const {
+bool RequestQueues::hasRequestAhead(const std::string& service, uint32_t priority) const {
   const auto line = lines_.find(service);
   return line != lines_.end() && !line->second.empty() &&
          line->second.begin()->first.priority <= priority;
 }
 
-size_t WaitingLine::length(const std::string& service) const {
+size_t RequestQueues::length(const std::string& service) const {
   const auto line = lines_.find(service);
   return line == lines_.end() ? 0 : line->second.size();
 }
--- a/src/core/relay/return_times.cc
+++ b/src/core/relay/retry_after_scheduler.cc
@@ -1,4 +1,4 @@
-#include "core/relay/return_times.h"
+#include "core/relay/retry_after_scheduler.h"
 
 #include <algorithm>
 
@@ -20,13 +20,14 @@
 
 } // namespace
 
-void ReturnTimes::noteEnded(const std::string& service, int64_t now_ms) {
+void RetryAfterScheduler::recordCompletion(const std::string& service, int64_t now_ms) {
   std::deque<int64_t>& ended = services_[service].ended;
   ended.push_back(now_ms);
   dropUntil(ended, now_ms - kPaceWindowMs - 1);
 }
 
-uint32_t ReturnTimes::nextAfterMs(const std::string& service, int64_t left_ms, int64_t now_ms) {
+uint32_t RetryAfterScheduler::nextDelayMs(const std::string& service, int64_t left_ms,
+                                          int64_t now_ms) {
   Service& state = services_[service];
   std::deque<int64_t>& ended = state.ended;
   dropUntil(ended, now_ms - kPaceWindowMs - 1);
--- a/src/core/relay/retry_budget.cc
+++ b/src/core/relay/retry_budget.cc
@@ -64,20 +64,20 @@
   dropUntil(spending.repeats, now_ms - options_.window_ms);
 }
 
-void RetryBudget::noteRequest(const std::string& service, int64_t now_ms) {
+void RetryBudget::recordRequest(const std::string& service, int64_t now_ms) {
   Spending& spending = services_[service];
   forgetOld(spending, now_ms);
   spending.requests.push_back(now_ms);
 }
 
 /// Takes a repeat where the relay's share of the slack is less than one.
-bool RetryBudget::takeByLot(Spending& spending, int64_t now_ms) const {
+bool RetryBudget::takeByDraw(Spending& spending, int64_t now_ms) const {
   const double known_part =
       static_cast<double>(now_ms - known_since_ms_) / static_cast<double>(options_.window_ms);
   const double share =
       options_.slack / static_cast<double>(relays_) * std::clamp(known_part, 0.0, 1.0);
   const double earned = options_.ratio * static_cast<double>(spending.requests.size());
-  const double allowed = kSpentPart * (share + earned) + options_.lot;
+  const double allowed = kSpentPart * (share + earned) + options_.draw;
   if (static_cast<double>(spending.repeats.size()) + 1 > allowed) {
     return false;
   }
@@ -85,13 +85,13 @@
   return true;
 }
 
-bool RetryBudget::takeRepeat(const std::string& service, int64_t now_ms) {
+bool RetryBudget::takeRetry(const std::string& service, int64_t now_ms) {
   lowerRelays(now_ms);
   Spending& spending = services_[service];
   forgetOld(spending, now_ms);
   refill(spending, now_ms);
   if (relays_ != 0 && mostTokens() < 1) {
-    return takeByLot(spending, now_ms);
+    return takeByDraw(spending, now_ms);
   }
   const double earned = kSpentPart * options_.ratio * static_cast<double>(spending.requests.size());
   if (static_cast<double>(spending.repeats.size()) + 1 <= earned) {
--- a/src/core/relay/retry_budget.h
+++ b/src/core/relay/retry_budget.h
@@ -17,7 +17,7 @@
   /// Repeats allowed beyond the ratio, in each window, over all relays.
   double slack = 64;
   /// From 0 to below 1, drawn by each process: rounds a share of less than one repeat up or down.
-  double lot = 0.5;
+  double draw = 0.5;
 };
 
 /// One relay's part of the budget. Its own requests earn it the ratio. Of the slack it has an equal
@@ -43,10 +43,10 @@
   void setRelays(size_t relays, int64_t now_ms);
 
   /// Notes the first attempt of a request.
-  void noteRequest(const std::string& service, int64_t now_ms);
+  void recordRequest(const std::string& service, int64_t now_ms);
 
   /// Takes one repeat from the budget. @return false when it is spent.
-  bool takeRepeat(const std::string& service, int64_t now_ms);
+  bool takeRetry(const std::string& service, int64_t now_ms);
 
 private:
   struct Spending {
@@ -63,7 +63,7 @@
   void refill(Spending& spending, int64_t now_ms) const;
   void lowerRelays(int64_t now_ms);
   double mostTokens() const;
-  bool takeByLot(Spending& spending, int64_t now_ms) const;
+  bool takeByDraw(Spending& spending, int64_t now_ms) const;
 
   const RetryBudgetOptions options_;
   size_t relays_ = 0;
--- a/src/core/relay/rollout_analysis.h
+++ b/src/core/relay/rollout_analysis.h
@@ -14,13 +14,13 @@
 namespace workshatch::relay {
 
 /// What the judgement rests on besides the outcomes.
-struct RolloutSituation {
+struct RolloutConditions {
   int64_t now_ms = 0;
   /// Places of all runners of the target version, and of the former ones.
-  uint64_t target_places = 0;
-  uint64_t former_places = 0;
+  uint64_t target_slots = 0;
+  uint64_t former_slots = 0;
   /// The leader has heard all relays since it leads.
-  bool all_heard = false;
+  bool all_relays_reported = false;
   /// No relay has requests at former versions any more.
   bool former_idle = false;
 };
@@ -38,42 +38,43 @@
 public:
   /// @param elapsed_ms since the order
   RolloutAnalysis(const v1::Rollout& rollout, int64_t elapsed_ms, int64_t now_ms)
-      : duration_ms_(rollout.duration_ms()), begun_ms_(now_ms - elapsed_ms) {}
+      : duration_ms_(rollout.duration_ms()), started_ms_(now_ms - elapsed_ms) {}
 
   /// Takes a relay's report; what an earlier process of the relay told stays counted.
-  void take(const std::string& relay, uint64_t incarnation, const v1::RolloutReport& report,
-            int64_t now_ms);
+  void addReport(const std::string& relay, uint64_t incarnation, const v1::RolloutReport& report,
+                 int64_t now_ms);
 
   /// @return the phase that the rollout is to go to; nothing: it stays as it is.
-  std::optional<v1::RolloutPhase> decide(v1::RolloutPhase phase, const RolloutSituation& situation);
+  std::optional<v1::RolloutPhase> decide(v1::RolloutPhase phase,
+                                         const RolloutConditions& situation);
 
   /// Outcomes since the beginning, for the log.
   const VersionComparison& outcomes() const { return outcomes_; }
   /// What the last decision rested on, for the log.
   const Evidence& evidence() const { return evidence_; }
-  int64_t elapsedMs(int64_t now_ms) const { return now_ms - begun_ms_; }
+  int64_t elapsedMs(int64_t now_ms) const { return now_ms - started_ms_; }
 
 private:
-  struct Told {
+  struct RelayReport {
     uint64_t incarnation = 0;
     v1::RolloutReport report;
   };
-  struct Moment {
+  struct Snapshot {
     int64_t at_ms = 0;
     VersionComparison outcomes;
   };
 
-  void remember(int64_t now_ms);
+  void takeSnapshot(int64_t now_ms);
   Evidence strongestEvidence() const;
-  std::optional<v1::RolloutPhase> judgeTrial(const RolloutSituation& situation) const;
+  std::optional<v1::RolloutPhase> evaluateTrial(const RolloutConditions& situation) const;
 
   const int64_t duration_ms_;
-  const int64_t begun_ms_;
+  const int64_t started_ms_;
   /// The last report of each relay, by its name.
-  std::map<std::string, Told> told_;
+  std::map<std::string, RelayReport> last_reports_;
   VersionComparison outcomes_;
   /// Earlier states of `outcomes_`, the oldest first.
-  std::deque<Moment> moments_;
+  std::deque<Snapshot> snapshots_;
   Evidence evidence_;
 };
 
--- a/src/core/relay/rollout_gate.cc
+++ b/src/core/relay/rollout_gate.cc
@@ -12,14 +12,14 @@
 }
 
 /// @return a number from 0 to below 1.
-double partOf(uint64_t draw) {
+double fractionOf(uint64_t draw) {
   constexpr uint64_t kParts = uint64_t{1} << 20U;
   return static_cast<double>(draw % kParts) / static_cast<double>(kParts);
 }
 
 } // namespace
 
-bool isOpen(const v1::Rollout& rollout, const std::string& version, bool trial) {
+bool admitsVersion(const v1::Rollout& rollout, const std::string& version, bool trial) {
   const bool target = version == rollout.target_version();
   switch (rollout.phase()) {
   case v1::ROLLOUT_CANARY:
@@ -38,42 +38,42 @@
 
 void RolloutGate::setRollouts(const v1::RolloutList& rollouts, uint64_t draw) {
   rollouts_ = rollouts;
-  std::map<std::string, Earned> earned;
+  std::map<std::string, TrialCredit> credit;
   for (const v1::Rollout& rollout : rollouts_.rollouts()) {
     if (rollout.phase() != v1::ROLLOUT_CANARY) {
       continue;
     }
-    const auto held = earned_.find(rollout.service());
-    const bool same = held != earned_.end() && held->second.rollout == rollout.id();
-    earned[rollout.service()] =
-        same ? held->second : Earned{.rollout = rollout.id(), .trials = partOf(draw)};
+    const auto held = credits_.find(rollout.service());
+    const bool same = held != credits_.end() && held->second.rollout == rollout.id();
+    credit[rollout.service()] =
+        same ? held->second : TrialCredit{.rollout = rollout.id(), .trials = fractionOf(draw)};
   }
-  earned_ = std::move(earned);
+  credits_ = std::move(credit);
 }
 
-RolloutGate::Earned* RolloutGate::earnedFor(const std::string& service) {
-  const auto found = earned_.find(service);
-  return found == earned_.end() ? nullptr : &found->second;
+RolloutGate::TrialCredit* RolloutGate::creditFor(const std::string& service) {
+  const auto found = credits_.find(service);
+  return found == credits_.end() ? nullptr : &found->second;
 }
 
 bool RolloutGate::takeTrial(const std::string& service) {
-  Earned* earned = earnedFor(service);
-  if (earned == nullptr || earned->trials < 1) {
+  TrialCredit* credit = creditFor(service);
+  if (credit == nullptr || credit->trials < 1) {
     return false;
   }
-  earned->trials -= 1;
+  credit->trials -= 1;
   return true;
 }
 
 void RolloutGate::returnTrial(const std::string& service) {
-  if (Earned* earned = earnedFor(service)) {
-    earned->trials += 1;
+  if (TrialCredit* credit = creditFor(service)) {
+    credit->trials += 1;
   }
 }
 
-void RolloutGate::noteSent(const std::string& service) {
-  if (Earned* earned = earnedFor(service)) {
-    earned->trials += share_;
+void RolloutGate::recordSent(const std::string& service) {
+  if (TrialCredit* credit = creditFor(service)) {
+    credit->trials += share_;
   }
 }
 
--- a/src/core/relay/rollout_gate.h
+++ b/src/core/relay/rollout_gate.h
@@ -32,8 +32,8 @@
   const v1::RolloutList& rollouts() const { return rollouts_; }
 
   /// @return the last rollout of the service; null: it had none.
-  const v1::Rollout* rolloutOf(const std::string& service) const {
-    return relay::rolloutOf(rollouts_, service);
+  const v1::Rollout* findRollout(const std::string& service) const {
+    return relay::findRollout(rollouts_, service);
   }
 
   /// Takes a trial for a request of the service. @return false when none is earned.
@@ -41,25 +41,25 @@
   /// Gives back a trial that was not sent.
   void returnTrial(const std::string& service);
   /// Notes that a request of the service was sent to a runner for the first time.
-  void noteSent(const std::string& service);
+  void recordSent(const std::string& service);
 
 private:
-  struct Earned {
+  struct TrialCredit {
     /// Index of the rollout's order in the replicated log.
     uint64_t rollout = 0;
     double trials = 0;
   };
 
-  Earned* earnedFor(const std::string& service);
+  TrialCredit* creditFor(const std::string& service);
 
   const double share_;
   v1::RolloutList rollouts_;
   /// By service, of rollouts on trial.
-  std::map<std::string, Earned> earned_;
+  std::map<std::string, TrialCredit> credits_;
 };
 
 /// @return whether the rollout lets a request go to a runner of this version.
 /// @param trial the request is one of those that the target version gets on trial
-bool isOpen(const v1::Rollout& rollout, const std::string& version, bool trial);
+bool admitsVersion(const v1::Rollout& rollout, const std::string& version, bool trial);
 
 } // namespace workshatch::relay
--- a/src/core/relay/rollout_outcomes.cc
+++ b/src/core/relay/rollout_outcomes.cc
@@ -8,7 +8,7 @@
 namespace {
 
 template <typename Told>
-void tellTimes(const std::array<uint64_t, kTimeBuckets>& times, Told& told) {
+void writeTimes(const std::array<uint64_t, kTimeBuckets>& times, Told& told) {
   size_t used = times.size();
   while (used > 0 && times[used - 1] == 0) {
     --used;
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void RolloutOutcomes::note(uint64_t rollout, const VersionOutcome& outcome) {
+void RolloutOutcomes::record(uint64_t rollout, const VersionOutcome& outcome) {
   OutcomeCounts& counts =
       counts_[rollout][RouteVersion(routing::fingerprintOf(outcome.route), outcome.target)];
   ++counts.ended;
@@ -44,16 +44,16 @@
     told.set_target(route_version.second);
     told.set_ended(static_cast<uint32_t>(counts.ended));
     told.set_failed(static_cast<uint32_t>(counts.failed));
-    tellTimes(counts.first_times, *told.mutable_first_times());
-    tellTimes(counts.step_times, *told.mutable_step_times());
+    writeTimes(counts.first_times, *told.mutable_first_times());
+    writeTimes(counts.step_times, *told.mutable_step_times());
   }
 }
 
-void RolloutOutcomes::keepOnly(const v1::RolloutList& rollouts) {
+void RolloutOutcomes::dropFinished(const v1::RolloutList& rollouts) {
   std::map<uint64_t, std::map<RouteVersion, OutcomeCounts>> kept;
   for (const v1::Rollout& rollout : rollouts.rollouts()) {
     const auto found = counts_.find(rollout.id());
-    if (isUnderWay(rollout) && found != counts_.end()) {
+    if (isInProgress(rollout) && found != counts_.end()) {
       kept.insert(std::move(*found));
     }
   }
--- a/src/core/relay/rollout_outcomes.h
+++ b/src/core/relay/rollout_outcomes.h
@@ -27,11 +27,11 @@
 /// Counts outcomes of the rollouts that are under way. Not safe for concurrent use.
 class RolloutOutcomes {
 public:
-  void note(uint64_t rollout, const VersionOutcome& outcome);
+  void record(uint64_t rollout, const VersionOutcome& outcome);
   /// Adds what was counted for a rollout.
   void fill(v1::RolloutReport& report) const;
   /// Drops what belongs to rollouts that are over.
-  void keepOnly(const v1::RolloutList& rollouts);
+  void dropFinished(const v1::RolloutList& rollouts);
 
 private:
   /// Fingerprint of the route, and whether the runner was of the target version.
--- a/src/core/relay/runner.h
+++ b/src/core/relay/runner.h
@@ -22,14 +22,14 @@
   /// Attempts of the other relays, as of the last sums.
   uint32_t others_in_progress = 0;
   /// Attempts of this relay when the last sums came.
-  uint32_t in_progress_at_sums = 0;
+  uint32_t in_progress_at_totals = 0;
   /// It has been sent prompts with cached parts.
   bool engine = false;
   /// Moving share of failed attempts, 0 to 1.
   double failure_rate = 0;
   uint32_t failures_in_row = 0;
   /// When it last sent anything, or the first of its present attempts began.
-  int64_t sign_of_life_ms = 0;
+  int64_t last_activity_ms = 0;
   /// Other relays get no answer from it, as told until then.
   int64_t suspected_until_ms = 0;
   /// Not chosen before, unless nothing else is left.
@@ -44,11 +44,11 @@
   bool evacuated = false;
   /// Its version was read from the platform while the group was silent, so that it is not known
   /// whether a rollout holds requests back from it.
-  bool version_untold = false;
+  bool version_unconfirmed = false;
   /// How long work takes there as a multiple of the usual time, smoothed, and when it was told
   /// last.
   double work_time_factor = 1;
-  int64_t work_time_told_ms = 0;
+  int64_t work_time_reported_ms = 0;
   /// It counts as cold until then.
   int64_t cold_until_ms = 0;
   /// When it came into the list; zero: it was in the first one.
--- a/src/core/relay/runner_backoffs.cc
+++ b/src/core/relay/runner_backoffs.cc
@@ -5,38 +5,39 @@
 namespace {
 
 /// Backoffs kept at most; a relay that meets more runners than this drops those that are over.
-constexpr size_t kMostKept = 4096;
+constexpr size_t kMaxBackoffs = 4096;
 /// A process that leaves has ended long before this.
-constexpr int64_t kLeavingKeptMs = 600'000;
+constexpr int64_t kLeavingRetentionMs = 600'000;
 
 } // namespace
 
-RunnerBackoff RunnerBackoffs::note(uint64_t life, const RunnerNotice& notice, int64_t now_ms) {
-  RunnerBackoff backoff = find(life);
+RunnerBackoff RunnerBackoffs::note(uint64_t incarnation, const RunnerNotice& notice,
+                                   int64_t now_ms) {
+  RunnerBackoff backoff = find(incarnation);
   if (!notice.leaving && !notice.backoff_ms) {
     return backoff;
   }
   backoff.leaving = backoff.leaving || notice.leaving;
-  backoff.time.note(notice.backoff_ms.value_or(0), now_ms);
-  if (!backoffs_.contains(life)) {
-    makeRoom(now_ms);
+  backoff.time.extend(notice.backoff_ms.value_or(0), now_ms);
+  if (!backoffs_.contains(incarnation)) {
+    dropExpired(now_ms);
   }
-  backoffs_[life] = Kept{.backoff = backoff, .noted_ms = now_ms};
+  backoffs_[incarnation] = Kept{.backoff = backoff, .noted_ms = now_ms};
   return backoff;
 }
 
-RunnerBackoff RunnerBackoffs::find(uint64_t life) const {
-  const auto found = backoffs_.find(life);
+RunnerBackoff RunnerBackoffs::find(uint64_t incarnation) const {
+  const auto found = backoffs_.find(incarnation);
   return found == backoffs_.end() ? RunnerBackoff{} : found->second.backoff;
 }
 
-void RunnerBackoffs::makeRoom(int64_t now_ms) {
-  if (backoffs_.size() < kMostKept) {
+void RunnerBackoffs::dropExpired(int64_t now_ms) {
+  if (backoffs_.size() < kMaxBackoffs) {
     return;
   }
   std::erase_if(backoffs_, [now_ms](const auto& entry) {
     const Kept& kept = entry.second;
-    return kept.backoff.leaving ? now_ms - kept.noted_ms > kLeavingKeptMs
+    return kept.backoff.leaving ? now_ms - kept.noted_ms > kLeavingRetentionMs
                                 : !kept.backoff.holds(now_ms);
   });
 }
--- a/src/core/relay/runner_backoffs.h
+++ b/src/core/relay/runner_backoffs.h
@@ -17,7 +17,7 @@
   /// It is leaving: it wants none until its process ends.
   bool leaving = false;
 
-  bool holds(int64_t now_ms) const { return leaving || time.holds(now_ms); }
+  bool holds(int64_t now_ms) const { return leaving || time.isActive(now_ms); }
 };
 
 /// The backoffs of all runners, by the fingerprint of a runner's life.
@@ -30,10 +30,10 @@
 class RunnerBackoffs {
 public:
   /// Takes what an answer says. @return what holds from here on.
-  RunnerBackoff note(uint64_t life, const RunnerNotice& notice, int64_t now_ms);
+  RunnerBackoff note(uint64_t incarnation, const RunnerNotice& notice, int64_t now_ms);
 
   /// @return what the runner asked for; nothing of it holds when it did not ask.
-  RunnerBackoff find(uint64_t life) const;
+  RunnerBackoff find(uint64_t incarnation) const;
 
   size_t size() const { return backoffs_.size(); }
 
@@ -43,7 +43,7 @@
     int64_t noted_ms = 0;
   };
 
-  void makeRoom(int64_t now_ms);
+  void dropExpired(int64_t now_ms);
 
   std::unordered_map<uint64_t, Kept> backoffs_;
 };
--- a/src/core/relay/runner_choice.cc
+++ b/src/core/relay/runner_choice.cc
@@ -13,9 +13,9 @@
 namespace {
 
 /// Runners that are ranked for a prompt where owners are asked: more than are ever asked for one.
-constexpr size_t kRankedForOwners = 16;
+constexpr size_t kMaxRankedForOwners = 16;
 /// Fineness of the lots by which relays share a place.
-constexpr uint64_t kLots = 1024;
+constexpr uint64_t kDrawSteps = 1024;
 
 bool isExcluded(const RunnerRequest& request, const Runner& runner) {
   return std::find(request.excluded.begin(), request.excluded.end(), runner.entry.id()) !=
@@ -24,50 +24,50 @@
 
 } // namespace
 
-RunnerTable::Candidacy RunnerTable::candidatesFor(const RunnerRequest& request) const {
-  Candidacy candidacy;
-  Candidates& usable = candidacy.runners;
+RunnerTable::CandidateSet RunnerTable::candidatesFor(const RunnerRequest& request) const {
+  CandidateSet candidate_set;
+  Candidates& usable = candidate_set.runners;
   Candidates avoided;
   const auto service = services_.find(request.service);
   if (service == services_.end()) {
-    return candidacy;
+    return candidate_set;
   }
-  const v1::Rollout* rollout = rollouts_.rolloutOf(request.service);
+  const v1::Rollout* rollout = rollouts_.findRollout(request.service);
   usable.reserve(service->second.runners.size());
   for (const auto& runner : service->second.runners) {
     const bool open =
         !runner->isLeaving() && !runner->evacuated &&
-        (rollout == nullptr || isOpen(*rollout, runner->entry.version(), request.trial));
+        (rollout == nullptr || admitsVersion(*rollout, runner->entry.version(), request.trial));
     if (!open || !isHome(request.home_regions, *runner) || isExcluded(request, *runner)) {
       continue;
     }
     // Not even as the last resort: what a runner asks for is no guess of this relay.
     if (isBackingOff(*runner, request.now_ms)) {
-      ++candidacy.backing_off;
+      ++candidate_set.backing_off;
       continue;
     }
     // Only an owner keeps the pace of a cold runner.
-    const bool unpaced =
-        (request.past_limits || !request.asks_owners) && coldMs(*runner, request.now_ms) != 0;
-    const bool last = unpaced || runner->version_untold || isAvoided(*runner, request.now_ms);
+    const bool unpaced = (request.ignores_limits || !request.uses_slot_owners) &&
+                         coldMs(*runner, request.now_ms) != 0;
+    const bool last = unpaced || runner->version_unconfirmed || isAvoided(*runner, request.now_ms);
     (last ? avoided : usable).push_back(runner);
   }
   if (request.trial) {
     keepTrialRunners(request, usable);
-    return candidacy;
+    return candidate_set;
   }
-  candidacy.last_resort = usable.empty() && !avoided.empty();
-  if (candidacy.last_resort) {
+  candidate_set.last_resort = usable.empty() && !avoided.empty();
+  if (candidate_set.last_resort) {
     usable = std::move(avoided);
   }
-  return candidacy;
+  return candidate_set;
 }
 
 /// A version on trial gets its share on as few of its runners as bear it, so that these are as
 /// loaded as those of the former version: some faults show under load only.
 void RunnerTable::keepTrialRunners(const RunnerRequest& request, Candidates& candidates) const {
   const Candidates& all = services_.at(request.service).runners;
-  const v1::Rollout& rollout = *rollouts_.rolloutOf(request.service);
+  const v1::Rollout& rollout = *rollouts_.findRollout(request.service);
   const auto former = std::count_if(all.begin(), all.end(), [&](const auto& runner) {
     return runner->entry.version() != rollout.target_version();
   });
@@ -95,11 +95,11 @@
   for (const auto& runner : candidates) {
     load += runner->load();
   }
-  const v1::Rollout* rollout = rollouts_.rolloutOf(request.service);
+  const v1::Rollout* rollout = rollouts_.findRollout(request.service);
   for (const auto& runner : services_.at(request.service).runners) {
     const bool held_back =
         runner->evacuated || isBackingOff(*runner, request.now_ms) ||
-        (rollout != nullptr && !isOpen(*rollout, runner->entry.version(), request.trial));
+        (rollout != nullptr && !admitsVersion(*rollout, runner->entry.version(), request.trial));
     load += held_back ? runner->load() : 0;
     counted += held_back ? 1 : 0;
   }
@@ -110,55 +110,57 @@
 /// each. So where more is asked between two sums than was free, a request takes a place with the
 /// chance that lets all relays together take what was free; where a runner was too full, each relay
 /// gives back its part of what was too much.
-bool RunnerTable::takesShare(const RunnerRequest& request, const Runner& runner,
-                             uint32_t limit) const {
-  const uint32_t own = runner.in_progress_at_sums;
-  const uint32_t load_at_sums = runner.others_in_progress + own;
-  if (load_at_sums > limit) {
-    return runner.in_progress < own * limit / load_at_sums;
+bool RunnerTable::isWithinShare(const RunnerRequest& request, const Runner& runner,
+                                uint32_t limit) const {
+  const uint32_t own = runner.in_progress_at_totals;
+  const uint32_t load_at_totals = runner.others_in_progress + own;
+  if (load_at_totals > limit) {
+    return runner.in_progress < own * limit / load_at_totals;
   }
   if (runner.in_progress < own) {
     return true;
   }
-  const double free = limit - load_at_sums;
-  const double chance = free / std::max(expectedAt(request.service), 1.0);
-  const double lot = static_cast<double>(request.standing.draw % kLots) / kLots;
-  return lot < chance;
+  const double free = limit - load_at_totals;
+  const double chance = free / std::max(expectedRequestsPerRunner(request.service), 1.0);
+  const double draw_fraction = static_cast<double>(request.rank.draw % kDrawSteps) / kDrawSteps;
+  return draw_fraction < chance;
 }
 
 /// Requests that all relays together have for a runner of the service between two sums, as far as
 /// this relay's own requests tell.
-double RunnerTable::expectedAt(const std::string& service) const {
+double RunnerTable::expectedRequestsPerRunner(const std::string& service) const {
   const auto found = services_.find(service);
   if (found == services_.end() || found->second.runners.empty()) {
     return 0;
   }
-  const uint32_t asked = std::max(found->second.asked_before_sums, found->second.asked_since_sums);
+  const uint32_t asked =
+      std::max(found->second.requests_before_totals, found->second.requests_since_totals);
   return static_cast<double>(asked) * static_cast<double>(relays_) /
          static_cast<double>(found->second.runners.size());
 }
 
 /// While most places of the service are free, a home may have a few requests more than places: they
 /// wait there for less time than it takes to read their prompts elsewhere.
-uint32_t RunnerTable::limitOf(const RunnerRequest& request, const Runner& runner, bool busy) const {
+uint32_t RunnerTable::loadLimitFor(const RunnerRequest& request, const Runner& runner,
+                                   bool busy) const {
   const uint32_t places = runner.entry.slots();
   if (!busy && request.engine && places != 0) {
     return places + static_cast<uint32_t>(options_.leave_slack);
   }
-  return placeLimit(options_.places, places, request.engine, request.standing);
+  return slotLimit(options_.places, places, request.engine, request.rank);
 }
 
-bool RunnerTable::hasPlace(const RunnerRequest& request, const Runner& runner, bool busy) const {
-  if (request.past_limits || !options_.policy.place_limits) {
+bool RunnerTable::hasFreeSlot(const RunnerRequest& request, const Runner& runner, bool busy) const {
+  if (request.ignores_limits || !options_.policy.place_limits) {
     return true;
   }
-  const uint32_t limit = limitOf(request, runner, busy);
+  const uint32_t limit = loadLimitFor(request, runner, busy);
   if (runner.load() >= limit || runner.full_until_ms > request.now_ms) {
     return false;
   }
   // A plain service's requests end many times between two sums: what was free then says little.
   const bool shared = options_.policy.shared_places && request.engine;
-  return !shared || takesShare(request, runner, limit);
+  return !shared || isWithinShare(request, runner, limit);
 }
 
 /// @return whether most of the places of these runners are taken.
@@ -169,35 +171,34 @@
     load += runner->load();
     places += runner->entry.slots();
   }
-  return static_cast<double>(load) > options_.busy_part * static_cast<double>(places);
+  return static_cast<double>(load) > options_.busy_fraction * static_cast<double>(places);
 }
 
 std::variant<RunnerChoice, NoRunner> RunnerTable::choose(const RunnerRequest& request) {
-  forgetStaleSums(request.now_ms);
-  Candidacy candidacy = candidatesFor(request);
-  Candidates& candidates = candidacy.runners;
+  dropStaleLoadTotals(request.now_ms);
+  CandidateSet candidate_set = candidatesFor(request);
+  Candidates& candidates = candidate_set.runners;
   if (candidates.empty()) {
-    return candidacy.backing_off > 0 ? NoRunner::AllBackingOff : NoRunner::NoneLeft;
+    return candidate_set.backing_off > 0 ? NoRunner::AllBackingOff : NoRunner::NoneLeft;
   }
-  services_[request.service].asked_since_sums += request.asks_again ? 0 : 1;
+  services_[request.service].requests_since_totals += request.already_counted ? 0 : 1;
   const bool by_prompt = request.cache_key != 0 && options_.policy.prompt_homes;
   const bool busy = isBusy(candidates);
-  const bool by_owners = request.asks_owners && !request.past_limits;
+  const bool by_owners = request.uses_slot_owners && !request.ignores_limits;
   if (by_prompt) {
-    const size_t ranked = by_owners ? kRankedForOwners : candidates.size();
-    candidates =
-        routing::rankFirst(request.cache_key, std::move(candidates), ranked,
-                           [](const std::shared_ptr<Runner>& runner) -> const std::string& {
-                             return runner->entry.id();
-                           });
+    const size_t ranked = by_owners ? kMaxRankedForOwners : candidates.size();
+    candidates = routing::rankTop(request.cache_key, std::move(candidates), ranked,
+                                  [](const std::shared_ptr<Runner>& runner) -> const std::string& {
+                                    return runner->entry.id();
+                                  });
   }
   std::optional<RunnerChoice> choice =
       by_owners ? chooseOffer(request, candidates, by_prompt, busy)
-                : chooseBySums(request, std::move(candidates), by_prompt, busy);
+                : chooseByLoadTotals(request, std::move(candidates), by_prompt, busy);
   if (!choice) {
     return NoRunner::AllFull;
   }
-  choice->last_resort = candidacy.last_resort;
+  choice->last_resort = candidate_set.last_resort;
   return *std::move(choice);
 }
 
@@ -208,7 +209,7 @@
   }
   int64_t least_ms = 0;
   for (const auto& runner : found->second.runners) {
-    const int64_t left_ms = runner->backoff.time.leftMs(now_ms);
+    const int64_t left_ms = runner->backoff.time.remainingMs(now_ms);
     const bool sooner = left_ms > 0 && (least_ms == 0 || left_ms < least_ms);
     least_ms = sooner ? left_ms : least_ms;
   }
@@ -216,13 +217,13 @@
 }
 
 /// Without sums the mean is not known: there is no cap then.
-std::optional<uint32_t> RunnerTable::ownersCap(const RunnerRequest& request,
-                                               const Candidates& candidates) const {
-  if (sums_at_ms_ == 0) {
+std::optional<uint32_t> RunnerTable::ownerLoadCap(const RunnerRequest& request,
+                                                  const Candidates& candidates) const {
+  if (totals_received_ms_ == 0) {
     return std::nullopt;
   }
   return static_cast<uint32_t>(options_.cap_factor * meanForCap(request, candidates) +
-                               options_.owners_cap_slack);
+                               options_.owner_cap_slack);
 }
 
 /// The next runner whose owner is asked for a place.
@@ -236,14 +237,14 @@
     std::remove_copy_if(candidates.begin(), candidates.end(), std::back_inserter(open), isFull);
   }
   const auto offer =
-      nextOffer(options_.placement, PlacementQuestion{.candidates = some_full ? open : candidates,
-                                                      .refused = request.refused_places,
-                                                      .by_prompt = by_prompt,
-                                                      .engine = request.engine,
-                                                      .busy = busy,
-                                                      .standing = request.standing,
-                                                      .now_ms = request.now_ms,
-                                                      .cap_load = ownersCap(request, candidates)});
+      nextOffer(options_.placement, PlacementQuery{.candidates = some_full ? open : candidates,
+                                                   .refused = request.refused_slots,
+                                                   .by_prompt = by_prompt,
+                                                   .engine = request.engine,
+                                                   .busy = busy,
+                                                   .rank = request.rank,
+                                                   .now_ms = request.now_ms,
+                                                   .cap_load = ownerLoadCap(request, candidates)});
   if (!offer) {
     return std::nullopt;
   }
@@ -251,14 +252,15 @@
       .runner = offer->runner, .passed_over = offer->passed_over, .limit = offer->limit};
 }
 
-std::optional<RunnerChoice> RunnerTable::chooseBySums(const RunnerRequest& request,
-                                                      Candidates candidates, bool by_prompt,
-                                                      bool busy) const {
-  if (by_prompt && busy && options_.policy.few_homes && !request.past_limits) {
+std::optional<RunnerChoice> RunnerTable::chooseByLoadTotals(const RunnerRequest& request,
+                                                            Candidates candidates, bool by_prompt,
+                                                            bool busy) const {
+  if (by_prompt && busy && options_.policy.few_homes && !request.ignores_limits) {
     // To read a long part anew on yet another runner takes more of it than the request itself.
     candidates.resize(std::min(candidates.size(), options_.busy_homes));
   }
-  std::erase_if(candidates, [&](const auto& runner) { return !hasPlace(request, *runner, busy); });
+  std::erase_if(candidates,
+                [&](const auto& runner) { return !hasFreeSlot(request, *runner, busy); });
   if (candidates.empty()) {
     return std::nullopt;
   }
@@ -285,21 +287,21 @@
   return spread;
 }
 
-std::shared_ptr<Runner> RunnerTable::guessSource(const RunnerRequest& request,
-                                                 const Runner& chosen) const {
+std::shared_ptr<Runner> RunnerTable::likelyPrefixSource(const RunnerRequest& request,
+                                                        const Runner& chosen) const {
   if (request.cache_key == 0 || !options_.policy.fetch_cached_parts) {
     return nullptr;
   }
-  return part_sources_.sourceFor(SourceQuestion{.part = request.cache_key,
-                                                .parent = request.parent_key,
-                                                .chosen = &chosen,
-                                                .runners = &services_.at(request.service).runners,
-                                                .avoided =
-                                                    [&](const Runner& runner) {
-                                                      return isAvoided(runner, request.now_ms) ||
-                                                             !isHome(request.home_regions, runner);
-                                                    },
-                                                .now_ms = request.now_ms});
+  return prefix_sources_.sourceFor(SourceQuery{.prefix = request.cache_key,
+                                               .parent = request.parent_key,
+                                               .chosen = &chosen,
+                                               .runners = &services_.at(request.service).runners,
+                                               .avoided =
+                                                   [&](const Runner& runner) {
+                                                     return isAvoided(runner, request.now_ms) ||
+                                                            !isHome(request.home_regions, runner);
+                                                   },
+                                               .now_ms = request.now_ms});
 }
 
 RunnerChoice RunnerTable::chooseByLoad(const RunnerRequest& request,
@@ -312,8 +314,8 @@
   };
   const auto best = std::min_element(
       candidates.begin(), candidates.end(), [&](const auto& left, const auto& right) {
-        const uint64_t left_draw = left->fingerprint ^ request.standing.draw;
-        const uint64_t right_draw = right->fingerprint ^ request.standing.draw;
+        const uint64_t left_draw = left->fingerprint ^ request.rank.draw;
+        const uint64_t right_draw = right->fingerprint ^ request.rank.draw;
         return std::pair(costOf(*left), left_draw) < std::pair(costOf(*right), right_draw);
       });
   return RunnerChoice{.runner = *best};
--- a/src/core/relay/runner_end_watch.h
+++ b/src/core/relay/runner_crash_monitor.h
@@ -8,8 +8,8 @@
 #include <optional>
 #include <vector>
 
+#include "core/relay/completed_requests.h"
 #include "core/relay/request_identity.h"
-#include "core/relay/whole_runs.h"
 #include "workshatch/v1/relay.pb.h"
 
 namespace workshatch::relay {
@@ -23,38 +23,40 @@
 /// Requests that ran whole lately are never reported.
 ///
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class RunnerEndWatch {
+class RunnerCrashMonitor {
 public:
   /// A request in progress at a runner whose process ended.
   struct Report {
     RequestIdentity request;
     /// Fingerprint of the runner's life.
     uint64_t runner = 0;
-    int64_t ended_ms = 0;
+    int64_t crashed_ms = 0;
   };
 
   /// What is to be done next about a cut.
-  enum class AfterCut {
+  enum class AfterDisconnect {
     Nothing,
     /// It shall be found out now if the runner's address still takes connections.
-    Look,
+    Probe,
     /// There is something to report.
     Report,
   };
 
   /// Notes that the runner cut the connection of a request in progress.
-  AfterCut noteCut(uint64_t runner, const RequestIdentity& request, int64_t now_ms);
+  AfterDisconnect recordDisconnect(uint64_t runner, const RequestIdentity& request, int64_t now_ms);
 
   /// Notes that the runner's address refused a connection.
   /// @return whether there is something to report.
-  bool noteRefused(uint64_t runner, int64_t now_ms);
+  bool recordConnectionRefused(uint64_t runner, int64_t now_ms);
 
   /// Notes that the runner's address took a connection: its process has not ended.
-  void noteListening(uint64_t runner);
+  void recordListening(uint64_t runner);
 
-  void noteWhole(const RequestIdentity& request, int64_t now_ms) { whole_.note(request, now_ms); }
-  bool ranWhole(const RequestIdentity& request, int64_t now_ms) {
-    return whole_.contains(request, now_ms);
+  void recordCompleted(const RequestIdentity& request, int64_t now_ms) {
+    completed_.record(request, now_ms);
+  }
+  bool completedRecently(const RequestIdentity& request, int64_t now_ms) {
+    return completed_.contains(request, now_ms);
   }
 
   /// Adds to a renewal what the leader has not been told.
@@ -62,29 +64,29 @@
   void fill(v1::LeaseRenewal& renewal, bool first_on_link, int64_t now_ms);
 
 private:
-  struct Cut {
+  struct Disconnect {
     RequestIdentity request;
-    int64_t cut_ms = 0;
+    int64_t disconnected_ms = 0;
   };
   struct Suspect {
     /// Cuts of which it is not known whether the runner ended.
-    std::vector<Cut> cuts;
+    std::vector<Disconnect> disconnects;
     /// When the address last refused a connection; empty: not lately.
     std::optional<int64_t> refused_ms;
     /// When it was last looked at; empty: never.
-    std::optional<int64_t> looked_ms;
+    std::optional<int64_t> probed_ms;
   };
 
-  void report(uint64_t runner, const Cut& cut);
-  void forgetOld(int64_t now_ms);
+  void report(uint64_t runner, const Disconnect& disconnect);
+  void dropExpired(int64_t now_ms);
 
-  WholeRuns whole_;
+  CompletedRequests completed_;
   /// By fingerprint of the runner's life.
   std::map<uint64_t, Suspect> suspects_;
   /// Oldest first.
   std::deque<Report> reports_;
   /// The last so many of `reports_` were not told on the present link.
-  size_t untold_ = 0;
+  size_t unreported_ = 0;
 };
 
 } // namespace workshatch::relay
--- a/src/core/relay/runner_end_times.h
+++ b/src/core/relay/runner_crash_times.h
@@ -10,7 +10,7 @@
 /// An end of a runner is held against the requests that were in progress there for so long. Longer
 /// than a client waits between two tries of one request; short enough that three losses of runners
 /// on an ordinary day are not held against a request that is sent once an hour.
-inline constexpr int64_t kEndCountsMs = 600'000;
+inline constexpr int64_t kCrashWindowMs = 600'000;
 
 /// A request stays in quarantine for so long: of one that goes on ending runners, three of them are
 /// lost in an hour; one that was blamed wrongly is served again after it.
--- a/src/core/relay/runner_entry.h
+++ b/src/core/relay/runner_entry.h
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "core/relay/runner_life.h"
+#include "core/relay/runner_incarnation.h"
 #include "workshatch/v1/relay.pb.h"
 
 namespace workshatch::relay {
@@ -19,7 +19,7 @@
 /// reading. Field by field: comparing by reflection takes a leader of thousands of runners too
 /// long.
 inline bool sameEntry(const v1::RunnerEntry& left, const v1::RunnerEntry& right) {
-  return sameLife(left, right) && left.leaving() == right.leaving() &&
+  return sameIncarnation(left, right) && left.leaving() == right.leaving() &&
          left.slots() == right.slots() && left.address() == right.address() &&
          left.service() == right.service() && left.zone() == right.zone() &&
          left.version() == right.version();
@@ -27,7 +27,7 @@
 
 /// @return whether a runner has turned cold since the earlier reading: the time only falls
 /// otherwise.
-inline bool turnedCold(const v1::RunnerEntry& earlier, const v1::RunnerEntry& later) {
+inline bool becameCold(const v1::RunnerEntry& earlier, const v1::RunnerEntry& later) {
   return later.cold_ms() > earlier.cold_ms();
 }
 
--- a/src/core/relay/runner_life.cc
+++ b/src/core/relay/runner_incarnation.cc
@@ -1,10 +1,10 @@
-#include "core/relay/runner_life.h"
+#include "core/relay/runner_incarnation.h"
 
 #include "core/routing/rendezvous.h"
 
 namespace workshatch::relay {
 
-uint64_t RunnerLife::fingerprint() const {
+uint64_t RunnerIncarnation::fingerprint() const {
   if (born_ms == 0) {
     return routing::fingerprintOf(id);
   }
@@ -12,8 +12,8 @@
   return routing::fingerprintOf(id + '\0' + std::to_string(born_ms));
 }
 
-RunnerLife lifeOf(const v1::RunnerEntry& entry) {
-  return RunnerLife{.id = entry.id(), .born_ms = entry.born_ms()};
+RunnerIncarnation incarnationOf(const v1::RunnerEntry& entry) {
+  return RunnerIncarnation{.id = entry.id(), .born_ms = entry.born_ms()};
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/runner_life.h
+++ b/src/core/relay/runner_incarnation.h
@@ -16,7 +16,7 @@
 /// life: entries of the table of runners, load sums, places and pace at owners, parts of prompts,
 /// ends of runners. A message about a former life names another fingerprint and changes nothing of
 /// the present one.
-struct RunnerLife {
+struct RunnerIncarnation {
   std::string id;
   /// When the process started, milliseconds since the epoch; zero: not told. Only compared for
   /// being the same: wall clocks may step back between two starts.
@@ -26,10 +26,10 @@
   uint64_t fingerprint() const;
 };
 
-RunnerLife lifeOf(const v1::RunnerEntry& entry);
+RunnerIncarnation incarnationOf(const v1::RunnerEntry& entry);
 
 /// @return whether two entries are of one process.
-inline bool sameLife(const v1::RunnerEntry& left, const v1::RunnerEntry& right) {
+inline bool sameIncarnation(const v1::RunnerEntry& left, const v1::RunnerEntry& right) {
   return left.id() == right.id() && left.born_ms() == right.born_ms();
 }
 
--- a/src/core/relay/runner_list_history.cc
+++ b/src/core/relay/runner_list_history.cc
@@ -7,15 +7,15 @@
 
 #include "core/compression/deflate.h"
 #include "core/relay/runner_entry.h"
-#include "core/relay/runner_life.h"
+#include "core/relay/runner_incarnation.h"
 
 namespace workshatch::relay {
 
 namespace {
 
-constexpr size_t kMostLists = 8;
+constexpr size_t kMaxLists = 8;
 /// Entries from which an update is compressed.
-constexpr int kLongUpdate = 20;
+constexpr int kMinCompressedEntries = 20;
 
 /// Both lists are sorted by id.
 v1::RunnerListUpdate differenceOf(const v1::RunnerList& base, const v1::RunnerList& target) {
@@ -42,12 +42,12 @@
 }
 
 void compressLong(v1::RunnerListUpdate& update) {
-  if (update.changed_size() < kLongUpdate) {
+  if (update.changed_size() < kMinCompressedEntries) {
     return;
   }
   v1::RunnerList changed;
   changed.mutable_runners()->Swap(update.mutable_changed());
-  *update.mutable_more_changed() = compression::packMessage(changed);
+  *update.mutable_more_changed() = compression::compressMessage(changed);
 }
 
 } // namespace
@@ -57,7 +57,7 @@
   newest_fingerprint_.reset();
   updates_.clear();
   positions_.clear();
-  if (lists_.size() > kMostLists) {
+  if (lists_.size() > kMaxLists) {
     lists_.pop_front();
   }
 }
@@ -107,10 +107,10 @@
   if (!by_another_leader || lists_.empty() || fingerprint != newestFingerprint()) {
     return updateFrom(base_version);
   }
-  renamed_.Clear();
-  renamed_.set_version(lists_.back().version());
-  renamed_.set_base_version(base_version);
-  return renamed_;
+  version_only_update_.Clear();
+  version_only_update_.set_version(lists_.back().version());
+  version_only_update_.set_base_version(base_version);
+  return version_only_update_;
 }
 
 const std::vector<std::optional<uint32_t>>* RunnerListHistory::positionsFrom(uint64_t version) {
@@ -128,7 +128,8 @@
     while (position < newest.runners_size() && comesBefore(newest.runners(position), entry)) {
       ++position;
     }
-    const bool same = position < newest.runners_size() && sameLife(newest.runners(position), entry);
+    const bool same =
+        position < newest.runners_size() && sameIncarnation(newest.runners(position), entry);
     found->second.push_back(same ? std::optional(static_cast<uint32_t>(position)) : std::nullopt);
   }
   return &found->second;
@@ -136,7 +137,8 @@
 
 Result<v1::RunnerList> changedEntries(const v1::RunnerListUpdate& update) {
   v1::RunnerList changed;
-  if (update.has_more_changed() && !compression::unpackMessage(update.more_changed(), changed)) {
+  if (update.has_more_changed() &&
+      !compression::decompressMessage(update.more_changed(), changed)) {
     return Error{"the update is damaged"};
   }
   changed.mutable_runners()->MergeFrom(update.changed());
--- a/src/core/relay/runner_list_history.h
+++ b/src/core/relay/runner_list_history.h
@@ -49,7 +49,7 @@
   /// Of the newest list, once it was asked for.
   std::optional<uint64_t> newest_fingerprint_;
   /// The update of a list that says the same as the newest.
-  v1::RunnerListUpdate renamed_;
+  v1::RunnerListUpdate version_only_update_;
   /// Updates to the newest list, by base version; zero: whole.
   std::map<uint64_t, v1::RunnerListUpdate> updates_;
   /// Positions in the newest list, by the version of another.
--- a/src/core/relay/runner_table.cc
+++ b/src/core/relay/runner_table.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "core/relay/runner_entry.h"
-#include "core/relay/runner_life.h"
+#include "core/relay/runner_incarnation.h"
 #include "core/relay/runner_list_history.h"
 #include "core/relay/runner_loads.h"
 #include "core/relay/work_time.h"
@@ -19,18 +19,18 @@
 /// A runner is suspect when its failure rate is over twice its service's mean plus this.
 constexpr uint32_t kFailuresToAvoid = 3;
 constexpr int64_t kAvoidUnreachableMs = 500;
-constexpr int64_t kMostAvoidMs = 4000;
+constexpr int64_t kMaxAvoidMs = 4000;
 constexpr int64_t kAvoidFailingMs = 1000;
 /// A full runner is left alone for a moment; for a shorter one where few requests are known to be
 /// there, since it may decline for a reason that has passed already.
 constexpr int64_t kFullMs = 100;
-constexpr int64_t kFullThoughIdleMs = 20;
+constexpr int64_t kFullWhileIdleMs = 20;
 constexpr int64_t kAvoidMisdirectedMs = 5000;
 
-int64_t growingHold(int64_t first_ms, uint32_t failures) {
+int64_t holdDownMs(int64_t first_ms, uint32_t failures) {
   constexpr uint32_t kMostDoublings = 5;
   const uint32_t doublings = std::min(failures == 0 ? 0 : failures - 1, kMostDoublings);
-  return std::min(first_ms << doublings, kMostAvoidMs);
+  return std::min(first_ms << doublings, kMaxAvoidMs);
 }
 
 bool comesBeforeRunner(const std::shared_ptr<Runner>& left, const std::shared_ptr<Runner>& right) {
@@ -54,11 +54,11 @@
                                                const v1::RunnerEntry& entry,
                                                int64_t listed_since_ms) const {
   // A process that has started again has none of the failures, load or parts of the one before.
-  if (known && sameLife(known->entry, entry)) {
+  if (known && sameIncarnation(known->entry, entry)) {
     return known;
   }
   auto runner = std::make_shared<Runner>();
-  runner->fingerprint = lifeOf(entry).fingerprint();
+  runner->fingerprint = incarnationOf(entry).fingerprint();
   runner->listed_since_ms = listed_since_ms;
   runner->backoff = backoffs_.find(runner->fingerprint);
   return runner;
@@ -80,7 +80,7 @@
   list_fingerprint_ = 0;
   for (const v1::RunnerEntry& entry : list.runners()) {
     auto runner = runnerFor(known[entry.id()], entry, listed_since_ms);
-    takeEntry(*runner, entry, now_ms);
+    applyEntry(*runner, entry, now_ms);
     list_fingerprint_ += runner->entry_fingerprint;
     runners_.push_back(runner);
     by_fingerprint_[runner->fingerprint] = runner;
@@ -88,7 +88,7 @@
   }
 }
 
-void RunnerTable::forget(Runner& runner) {
+void RunnerTable::delist(Runner& runner) {
   runner.gone = true;
   list_fingerprint_ -= runner.entry_fingerprint;
   by_fingerprint_.erase(runner.fingerprint);
@@ -127,7 +127,7 @@
   list_version_ = update.version();
   for (const std::string& id : update.removed()) {
     if (const auto runner = findById(runners_, id)) {
-      forget(*runner);
+      delist(*runner);
     }
   }
   Candidates added;
@@ -136,22 +136,22 @@
     const bool moved = known && known->entry.service() != entry.service();
     auto runner = runnerFor(moved ? nullptr : known, entry, listed_since_ms);
     if (known) {
-      forget(*known);
+      delist(*known);
     }
     const bool stays = runner == known;
-    takeEntry(*runner, entry, now_ms);
+    applyEntry(*runner, entry, now_ms);
     list_fingerprint_ += runner->entry_fingerprint;
     by_fingerprint_[runner->fingerprint] = runner;
     if (!stays) {
       added.push_back(std::move(runner));
     }
   }
-  putInPlace(std::move(added));
+  updateLists(std::move(added));
   return std::monostate{};
 }
 
 /// Takes the runners that are gone out of all lists, and others in.
-void RunnerTable::putInPlace(Candidates added) {
+void RunnerTable::updateLists(Candidates added) {
   removeGone(runners_);
   for (auto& [service, state] : services_) {
     removeGone(state.runners);
@@ -166,13 +166,13 @@
   insertSorted(runners_, std::move(added));
 }
 
-void RunnerTable::takeEntry(Runner& runner, const v1::RunnerEntry& entry, int64_t now_ms) {
+void RunnerTable::applyEntry(Runner& runner, const v1::RunnerEntry& entry, int64_t now_ms) {
   const bool came = runner.entry.id().empty() && runner.listed_since_ms != 0;
   const bool read_here = list_version_ == 0;
-  const bool known = read_here && !runner.entry.id().empty() && !runner.version_untold &&
+  const bool known = read_here && !runner.entry.id().empty() && !runner.version_unconfirmed &&
                      runner.entry.version() == entry.version();
-  runner.version_untold = read_here && !known;
-  ++entries_taken_;
+  runner.version_unconfirmed = read_here && !known;
+  ++entries_applied_;
   runner.entry = entry;
   runner.entry_fingerprint = fingerprintOf(entry);
   // It held when the list was read: the next update must not count it again.
@@ -180,9 +180,9 @@
   runner.gone = false;
   runner.region = options_.zones.regionOf(entry.zone());
   runner.evacuated = evacuated_zones_.contains(entry.zone());
-  cold_runners_.noteTold(runner, entry.cold_ms(), now_ms);
+  cold_runners_.recordReportedCold(runner, entry.cold_ms(), now_ms);
   if (came) {
-    cold_runners_.noteStarted(runner, now_ms);
+    cold_runners_.recordProcessStart(runner, now_ms);
   }
 }
 
@@ -195,14 +195,14 @@
   for (const auto& runner : runners_) {
     const bool evacuated = evacuated_zones_.contains(runner->entry.zone());
     if (std::exchange(runner->evacuated, evacuated) && !evacuated) {
-      cold_runners_.noteStarted(*runner, now_ms);
+      cold_runners_.recordProcessStart(*runner, now_ms);
     }
   }
 }
 
-bool RunnerTable::isOpenTo(const Runner& runner, bool trial) const {
-  const v1::Rollout* rollout = rollouts_.rolloutOf(runner.entry.service());
-  return rollout == nullptr || isOpen(*rollout, runner.entry.version(), trial);
+bool RunnerTable::isAdmittedByRollout(const Runner& runner, bool trial) const {
+  const v1::Rollout* rollout = rollouts_.findRollout(runner.entry.service());
+  return rollout == nullptr || admitsVersion(*rollout, runner.entry.version(), trial);
 }
 
 uint32_t RunnerTable::inProgressAtFormer(const v1::Rollout& rollout) const {
@@ -226,14 +226,14 @@
   return list;
 }
 
-void RunnerTable::setSums(const v1::RunnerLoads& sums, const v1::RunnerLoads& reported,
-                          int64_t now_ms) {
+void RunnerTable::setLoadTotals(const v1::RunnerLoads& sums, const v1::RunnerLoads& reported,
+                                int64_t now_ms) {
   const auto totals =
       sums.list_version() == list_version_ ? countsOf(sums, runners_.size()) : std::nullopt;
   if (!totals) {
     return;
   }
-  sums_at_ms_ = now_ms;
+  totals_received_ms_ = now_ms;
   const auto owns =
       reported.list_version() == list_version_ ? countsOf(reported, runners_.size()) : std::nullopt;
   for (size_t i = 0; i < runners_.size(); ++i) {
@@ -241,10 +241,10 @@
     const uint32_t own = owns ? (*owns)[i] : 0;
     const bool others = options_.policy.shared_loads && total > own;
     runners_[i]->others_in_progress = others ? total - own : 0;
-    runners_[i]->in_progress_at_sums = runners_[i]->in_progress;
+    runners_[i]->in_progress_at_totals = runners_[i]->in_progress;
   }
   for (auto& [service, state] : services_) {
-    state.asked_before_sums = std::exchange(state.asked_since_sums, 0);
+    state.requests_before_totals = std::exchange(state.requests_since_totals, 0);
   }
   for (const uint32_t position : sums.suspects()) {
     if (position < runners_.size() && options_.policy.shared_suspicions) {
@@ -253,11 +253,11 @@
   }
 }
 
-void RunnerTable::forgetStaleSums(int64_t now_ms) {
-  if (sums_at_ms_ == 0 || now_ms - sums_at_ms_ < options_.sums_valid_ms) {
+void RunnerTable::dropStaleLoadTotals(int64_t now_ms) {
+  if (totals_received_ms_ == 0 || now_ms - totals_received_ms_ < options_.load_totals_valid_ms) {
     return;
   }
-  sums_at_ms_ = 0;
+  totals_received_ms_ = 0;
   for (const auto& runner : runners_) {
     runner->others_in_progress = 0;
   }
@@ -283,7 +283,7 @@
 bool RunnerTable::isSilent(const Runner& runner, int64_t now_ms) const {
   const int64_t limit = runner.engine ? options_.silent_engine_ms : options_.silent_service_ms;
   return options_.policy.silence_limits && runner.in_progress > 0 &&
-         now_ms - runner.sign_of_life_ms > limit;
+         now_ms - runner.last_activity_ms > limit;
 }
 
 bool RunnerTable::isAvoided(const Runner& runner, int64_t now_ms) const {
@@ -291,16 +291,16 @@
          isSilent(runner, now_ms);
 }
 
-void RunnerTable::noteLoad(Runner& runner, uint32_t load) const {
+void RunnerTable::recordLoad(Runner& runner, uint32_t load) const {
   if (options_.policy.shared_loads) {
     runner.others_in_progress = load > runner.in_progress ? load - runner.in_progress : 0;
   }
 }
 
-void RunnerTable::noteNotice(Runner& runner, const RunnerNotice& notice, int64_t now_ms) {
-  cold_runners_.noteTold(runner, notice.cold_ms.value_or(0), now_ms);
+void RunnerTable::applyNotice(Runner& runner, const RunnerNotice& notice, int64_t now_ms) {
+  cold_runners_.recordReportedCold(runner, notice.cold_ms.value_or(0), now_ms);
   if (notice.load && notice.load->work_time_factor) {
-    noteWorkTime(runner, *notice.load->work_time_factor, now_ms);
+    recordWorkTime(runner, *notice.load->work_time_factor, now_ms);
   }
   runner.backoff = backoffs_.note(runner.fingerprint, notice, now_ms);
   // The list may have lost the runner and have it again since the attempt began.
@@ -311,16 +311,16 @@
 
 void RunnerTable::beginAttempt(Runner& runner, int64_t now_ms) const {
   if (runner.in_progress++ == 0) {
-    runner.sign_of_life_ms = now_ms;
+    runner.last_activity_ms = now_ms;
   }
 }
 
-void RunnerTable::noteSent(const RunnerRequest& request, const RunnerChoice& choice) {
+void RunnerTable::recordSent(const RunnerRequest& request, const RunnerChoice& choice) {
   if (request.cache_key == 0) {
     return;
   }
   choice.runner->engine = true;
-  part_sources_.noteSent(request.cache_key, request.parent_key, choice.runner, request.now_ms);
+  prefix_sources_.recordSent(request.cache_key, request.parent_key, choice.runner, request.now_ms);
 }
 
 std::shared_ptr<Runner> RunnerTable::find(uint64_t fingerprint) const {
@@ -338,11 +338,11 @@
   if (!runner) {
     return OwnedRunner{};
   }
-  return OwnedRunner{.told_load = runner->load(),
+  return OwnedRunner{.reported_load = runner->load(),
                      .listed = true,
                      .evacuated = runner->evacuated,
                      .cold_ms = coldMs(*runner, now_ms),
-                     .cold_pace = cold_runners_.paceOf(runner->entry.service())};
+                     .cold_pace = cold_runners_.paceLimitFor(runner->entry.service())};
 }
 
 void RunnerTable::endAttempt(Runner& runner, AttemptOutcome outcome, int64_t now_ms) const {
@@ -350,7 +350,7 @@
     --runner.in_progress;
   }
   if (outcome == AttemptOutcome::ProcessGone) {
-    cold_runners_.noteStarted(runner, now_ms);
+    cold_runners_.recordProcessStart(runner, now_ms);
   }
   if (!options_.policy.hold_downs) {
     return;
@@ -362,7 +362,7 @@
     break;
   case AttemptOutcome::Refused:
     runner.full_until_ms =
-        now_ms + (2 * runner.load() < runner.entry.slots() ? kFullThoughIdleMs : kFullMs);
+        now_ms + (2 * runner.load() < runner.entry.slots() ? kFullWhileIdleMs : kFullMs);
     break;
   case AttemptOutcome::Misdirected:
     runner.avoid_until_ms = now_ms + kAvoidMisdirectedMs;
@@ -370,14 +370,14 @@
   case AttemptOutcome::ProcessGone:
   case AttemptOutcome::Unreachable:
     ++runner.failures_in_row;
-    runner.avoid_until_ms = now_ms + growingHold(kAvoidUnreachableMs, runner.failures_in_row);
+    runner.avoid_until_ms = now_ms + holdDownMs(kAvoidUnreachableMs, runner.failures_in_row);
     break;
   case AttemptOutcome::Failed:
     runner.failure_rate = runner.failure_rate * (1 - kNewestWeight) + kNewestWeight;
     ++runner.failures_in_row;
     if (runner.failures_in_row >= kFailuresToAvoid) {
       runner.avoid_until_ms =
-          now_ms + growingHold(kAvoidFailingMs, runner.failures_in_row - kFailuresToAvoid + 1);
+          now_ms + holdDownMs(kAvoidFailingMs, runner.failures_in_row - kFailuresToAvoid + 1);
     }
     break;
   case AttemptOutcome::Abandoned:
--- a/src/core/relay/runner_table.h
+++ b/src/core/relay/runner_table.h
@@ -16,15 +16,15 @@
 
 #include "core/relay/cold_runners.h"
 #include "core/relay/home_regions.h"
-#include "core/relay/part_sources.h"
-#include "core/relay/place_limits.h"
-#include "core/relay/place_owner.h"
 #include "core/relay/placement.h"
 #include "core/relay/policy.h"
+#include "core/relay/prefix_sources.h"
 #include "core/relay/rollout_gate.h"
 #include "core/relay/runner.h"
 #include "core/relay/runner_backoffs.h"
 #include "core/relay/runner_notice.h"
+#include "core/relay/slot_limits.h"
+#include "core/relay/slot_owner.h"
 #include "core/result.h"
 #include "workshatch/v1/relay.pb.h"
 
@@ -65,15 +65,15 @@
   /// Regions in which it may run.
   HomeRegions home_regions;
   /// Its draw also breaks ties.
-  Standing standing;
+  RequestRank rank;
   /// It asked before and waited; counts once in what is asked of the service.
-  bool asks_again = false;
+  bool already_counted = false;
   /// Goes to a full runner rather than to none, as the rest of a stream that broke does.
-  bool past_limits = false;
+  bool ignores_limits = false;
   /// Owners count the places of runners, and are asked for one.
-  bool asks_owners = false;
+  bool uses_slot_owners = false;
   /// Owners that gave no place so far.
-  size_t refused_places = 0;
+  size_t refused_slots = 0;
   /// It is one of those that a version on trial gets.
   bool trial = false;
 };
@@ -106,7 +106,7 @@
   double cap_factor = 2;
   double cap_slack = 2;
   /// Sums of the other relays' loads count for this long.
-  int64_t sums_valid_ms = 2500;
+  int64_t load_totals_valid_ms = 2500;
   /// A runner with attempts in progress that sends nothing for so long is avoided: a model engine,
   /// which sends events all the time, and any other.
   int64_t silent_engine_ms = 500;
@@ -117,7 +117,7 @@
   /// the mean plus `leave_slack`.
   double leave_factor = 1.3;
   double leave_slack = 6;
-  PlaceLimitOptions places;
+  SlotLimitOptions places;
   PlacementOptions placement;
   /// Bound on the requests of a second at a cold runner: a multiple of what it bears, plus a slack.
   double cold_factor = 1.5;
@@ -125,11 +125,11 @@
   /// Empty: requests may run in any region.
   ZoneRegions zones;
   /// As `cap_slack`, where owners count the load: nothing has to be left for what is not known yet.
-  double owners_cap_slack = 3;
+  double owner_cap_slack = 3;
   Policy policy;
   /// A service counts as busy over this part of its places. With what is kept for the more urgent,
   /// few of the rest are free then.
-  double busy_part = 0.85;
+  double busy_fraction = 0.85;
   /// Part of a service's requests that a version on trial gets.
   double trial_share = 0;
   /// Runners that a part of a prompt may be on while the service is busy.
@@ -156,7 +156,7 @@
   RolloutGate& rollouts() { return rollouts_; }
   const RolloutGate& rollouts() const { return rollouts_; }
   /// @return whether rollouts let a request go to the runner; `trial` as in `RunnerRequest`.
-  bool isOpenTo(const Runner& runner, bool trial) const;
+  bool isAdmittedByRollout(const Runner& runner, bool trial) const;
   /// @return requests of this relay in progress at runners that the rollout moves away from.
   uint32_t inProgressAtFormer(const v1::Rollout& rollout) const;
 
@@ -166,7 +166,7 @@
   /// thousands. @return an error when the update is damaged or for another list.
   Result<std::monostate> applyUpdate(const v1::RunnerListUpdate& update, int64_t now_ms);
   /// Entries read from lists and updates since the start.
-  uint64_t entriesTaken() const { return entries_taken_; }
+  uint64_t entriesApplied() const { return entries_applied_; }
   uint64_t listVersion() const { return list_version_; }
   uint64_t listFingerprint() const { return list_fingerprint_; }
   /// The list in use.
@@ -174,7 +174,7 @@
 
   /// Takes the sums over all relays, this one included, for the list that they name.
   /// @param reported what this relay had reported itself when the sums were made
-  void setSums(const v1::RunnerLoads& sums, const v1::RunnerLoads& reported, int64_t now_ms);
+  void setLoadTotals(const v1::RunnerLoads& sums, const v1::RunnerLoads& reported, int64_t now_ms);
 
   /// This relay's attempts in progress and the runners that do not answer it, by position in the
   /// list.
@@ -185,7 +185,7 @@
 
   /// @return whether the runner itself wants no requests from this relay.
   static bool isBackingOff(const Runner& runner, int64_t now_ms) {
-    return runner.backoff.time.holds(now_ms);
+    return runner.backoff.time.isActive(now_ms);
   }
   /// @return milliseconds until the first of the service's runners that asked for a backoff wants
   /// requests again; zero: none asked for one.
@@ -193,14 +193,17 @@
 
   std::variant<RunnerChoice, NoRunner> choose(const RunnerRequest& request);
   /// @return milliseconds since the sums of loads came; -1: none count.
-  int64_t sumsAgeMs(int64_t now_ms) const { return sums_at_ms_ == 0 ? -1 : now_ms - sums_at_ms_; }
+  int64_t loadTotalsAgeMs(int64_t now_ms) const {
+    return totals_received_ms_ == 0 ? -1 : now_ms - totals_received_ms_;
+  }
 
   /// @return another runner that likely keeps parts of the prompt which the chosen one lacks, by
-  /// what this relay sent and by the ranking; null: none. Before `noteSent`.
-  std::shared_ptr<Runner> guessSource(const RunnerRequest& request, const Runner& chosen) const;
+  /// what this relay sent and by the ranking; null: none. Before `recordSent`.
+  std::shared_ptr<Runner> likelyPrefixSource(const RunnerRequest& request,
+                                             const Runner& chosen) const;
 
   /// Notes that the request goes to the runner chosen, which then has its shared parts.
-  void noteSent(const RunnerRequest& request, const RunnerChoice& choice);
+  void recordSent(const RunnerRequest& request, const RunnerChoice& choice);
 
   /// @return the runner with this fingerprint; null: none is listed.
   std::shared_ptr<Runner> find(uint64_t fingerprint) const;
@@ -220,18 +223,18 @@
     return cold_runners_.coldMs(runner, now_ms);
   }
   /// Takes what an answer of the runner says of it and of further requests to it.
-  void noteNotice(Runner& runner, const RunnerNotice& notice, int64_t now_ms);
+  void applyNotice(Runner& runner, const RunnerNotice& notice, int64_t now_ms);
   /// Notes that the runner's owner gives no places there for a while.
-  void noteHeldBack(Runner& runner, uint32_t wait_ms, int64_t now_ms) const {
+  void recordHoldBack(Runner& runner, uint32_t wait_ms, int64_t now_ms) const {
     runner.full_until_ms = std::max(runner.full_until_ms, now_ms + wait_ms);
   }
 
   /// Notes what an owner told of a runner's load; it counts until the next sums.
-  void noteLoad(Runner& runner, uint32_t load) const;
+  void recordLoad(Runner& runner, uint32_t load) const;
 
   void beginAttempt(Runner& runner, int64_t now_ms) const;
   /// Notes that bytes came from the runner.
-  void noteSignOfLife(Runner& runner, int64_t now_ms) const { runner.sign_of_life_ms = now_ms; }
+  void recordActivity(Runner& runner, int64_t now_ms) const { runner.last_activity_ms = now_ms; }
   void endAttempt(Runner& runner, AttemptOutcome outcome, int64_t now_ms) const;
 
   const std::vector<std::shared_ptr<Runner>>& runners() const { return runners_; }
@@ -239,42 +242,43 @@
 private:
   using Candidates = std::vector<std::shared_ptr<Runner>>;
 
-  void takeEntry(Runner& runner, const v1::RunnerEntry& entry, int64_t now_ms);
+  void applyEntry(Runner& runner, const v1::RunnerEntry& entry, int64_t now_ms);
   std::shared_ptr<Runner> runnerFor(std::shared_ptr<Runner> known, const v1::RunnerEntry& entry,
                                     int64_t listed_since_ms) const;
-  void forget(Runner& runner);
-  void putInPlace(Candidates added);
+  void delist(Runner& runner);
+  void updateLists(Candidates added);
   static void removeGone(Candidates& runners);
   static void insertSorted(Candidates& runners, Candidates added);
   /// Runners that a request may go to.
-  struct Candidacy {
+  struct CandidateSet {
     Candidates runners;
     /// All of them are being avoided.
     bool last_resort = false;
     /// Runners that the request may go to but for their backoff.
     size_t backing_off = 0;
   };
-  Candidacy candidatesFor(const RunnerRequest& request) const;
+  CandidateSet candidatesFor(const RunnerRequest& request) const;
   void keepTrialRunners(const RunnerRequest& request, Candidates& candidates) const;
-  uint32_t limitOf(const RunnerRequest& request, const Runner& runner, bool busy) const;
-  bool hasPlace(const RunnerRequest& request, const Runner& runner, bool busy) const;
-  bool takesShare(const RunnerRequest& request, const Runner& runner, uint32_t limit) const;
-  double expectedAt(const std::string& service) const;
+  uint32_t loadLimitFor(const RunnerRequest& request, const Runner& runner, bool busy) const;
+  bool hasFreeSlot(const RunnerRequest& request, const Runner& runner, bool busy) const;
+  bool isWithinShare(const RunnerRequest& request, const Runner& runner, uint32_t limit) const;
+  double expectedRequestsPerRunner(const std::string& service) const;
   bool isBusy(const Candidates& candidates) const;
   std::optional<RunnerChoice> chooseOffer(const RunnerRequest& request,
                                           const Candidates& candidates, bool by_prompt,
                                           bool busy) const;
-  std::optional<RunnerChoice> chooseBySums(const RunnerRequest& request, Candidates candidates,
-                                           bool by_prompt, bool busy) const;
-  std::optional<uint32_t> ownersCap(const RunnerRequest& request,
-                                    const Candidates& candidates) const;
+  std::optional<RunnerChoice> chooseByLoadTotals(const RunnerRequest& request,
+                                                 Candidates candidates, bool by_prompt,
+                                                 bool busy) const;
+  std::optional<uint32_t> ownerLoadCap(const RunnerRequest& request,
+                                       const Candidates& candidates) const;
   RunnerChoice chooseByCache(const RunnerRequest& request, const Candidates& ranked) const;
   RunnerChoice chooseByLoad(const RunnerRequest& request, const Candidates& candidates) const;
   static double meanLoad(const Candidates& candidates);
   double meanForCap(const RunnerRequest& request, const Candidates& candidates) const;
   bool isSilent(const Runner& runner, int64_t now_ms) const;
   bool isAvoided(const Runner& runner, int64_t now_ms) const;
-  void forgetStaleSums(int64_t now_ms);
+  void dropStaleLoadTotals(int64_t now_ms);
 
   const RunnerTableOptions options_;
   ColdRunners cold_runners_;
@@ -283,20 +287,20 @@
   RolloutGate rollouts_;
   uint64_t list_version_ = 0;
   uint64_t list_fingerprint_ = 0;
-  uint64_t entries_taken_ = 0;
+  uint64_t entries_applied_ = 0;
   /// In the order of the list, which is that of the ids.
   std::vector<std::shared_ptr<Runner>> runners_;
   std::unordered_map<uint64_t, std::shared_ptr<Runner>> by_fingerprint_;
   struct ServiceRunners {
     Candidates runners;
     /// Requests of this relay since the last sums, and between the two before them.
-    uint32_t asked_since_sums = 0;
-    uint32_t asked_before_sums = 0;
+    uint32_t requests_since_totals = 0;
+    uint32_t requests_before_totals = 0;
   };
   std::map<std::string, ServiceRunners> services_;
-  PartSources part_sources_;
+  PrefixSources prefix_sources_;
   RunnerBackoffs backoffs_;
-  int64_t sums_at_ms_ = 0;
+  int64_t totals_received_ms_ = 0;
   size_t relays_ = 1;
 };
 
--- a/src/core/relay/silent_relays.h
+++ b/src/core/relay/silent_relays.h
@@ -13,8 +13,8 @@
 /// milliseconds of the monotonic clock. Not safe for concurrent use.
 class SilentRelays {
 public:
-  void fellSilent(const std::string& relay, int64_t now_ms) { since_ms_[relay] = now_ms; }
-  void heard(const std::string& relay) { since_ms_.erase(relay); }
+  void recordSilent(const std::string& relay, int64_t now_ms) { since_ms_[relay] = now_ms; }
+  void recordRenewal(const std::string& relay) { since_ms_.erase(relay); }
   void clear() { since_ms_.clear(); }
 
   /// @return how many relays are silent; one that is silent for too long is taken to be gone.
--- a/src/core/relay/place_owner.cc
+++ b/src/core/relay/slot_owner.cc
@@ -1,4 +1,4 @@
-#include "core/relay/place_owner.h"
+#include "core/relay/slot_owner.h"
 
 #include <algorithm>
 
@@ -7,9 +7,9 @@
 namespace {
 
 /// What was not told again counts no longer: room for one lost message and a busy sender.
-constexpr int64_t kUseValidMs = 2 * kTellPlacesAgainMs + 500;
+constexpr int64_t kUseValidMs = 2 * kSlotUsageReportPeriodMs + 500;
 /// All who use a runner have told its owner by then.
-constexpr int64_t kLearningMs = kTellPlacesAgainMs + 500;
+constexpr int64_t kLearningMs = kSlotUsageReportPeriodMs + 500;
 /// Relays learn of another list of relays with a renewal, 1.2 s after the first of them at most; by
 /// then all ask the same owner.
 constexpr int64_t kTwoOwnersMs = 2000;
@@ -19,7 +19,7 @@
 
 } // namespace
 
-PlaceOwner::Places& PlaceOwner::placesOf(uint64_t runner, int64_t now_ms) {
+SlotOwner::Places& SlotOwner::placesOf(uint64_t runner, int64_t now_ms) {
   const auto [found, added] = runners_.try_emplace(runner);
   if (added) {
     found->second.known_since_ms = now_ms;
@@ -27,13 +27,13 @@
   return found->second;
 }
 
-void PlaceOwner::setHeld(Places& places, Use& use, uint32_t held) {
+void SlotOwner::setHeld(Places& places, Use& use, uint32_t held) {
   places.load += held - use.held;
   use.held = held;
 }
 
-void PlaceOwner::take(Places& places, const std::string& relay, const v1::PlaceUse& told,
-                      int64_t now_ms) {
+void SlotOwner::take(Places& places, const std::string& relay, const v1::PlaceUse& told,
+                     int64_t now_ms) {
   Use& use = places.uses[relay];
   const bool old = use.incarnation == told.incarnation() && told.sequence() <= use.sequence;
   if (old) {
@@ -46,8 +46,8 @@
 }
 
 /// @return zero when the pace of a cold runner allows one more request; else the wait for it.
-uint32_t PlaceOwner::waitForPace(Places& places, const v1::PlaceClaim& claim,
-                                 const OwnedRunner& runner, int64_t now_ms) const {
+uint32_t SlotOwner::waitForPace(Places& places, const v1::PlaceClaim& claim,
+                                const OwnedRunner& runner, int64_t now_ms) const {
   const uint32_t cold_ms = std::max(claim.cold_ms(), runner.cold_ms);
   places.cold_until_ms = std::max(places.cold_until_ms, now_ms + cold_ms);
   if (places.cold_until_ms <= now_ms) {
@@ -68,12 +68,12 @@
   return places.pace->take(runner.cold_pace, two_owners, now_ms);
 }
 
-PlaceOwner::Decision PlaceOwner::claim(const std::string& relay, const v1::PlaceClaim& claim,
-                                       const OwnedRunner& runner, int64_t now_ms) {
+SlotOwner::Decision SlotOwner::claim(const std::string& relay, const v1::PlaceClaim& claim,
+                                     const OwnedRunner& runner, int64_t now_ms) {
   Places& places = placesOf(claim.use().runner(), now_ms);
   take(places, relay, claim.use(), now_ms);
   const bool learning = now_ms - places.known_since_ms < kLearningMs;
-  const uint32_t load = learning ? std::max(places.load, runner.told_load) : places.load;
+  const uint32_t load = learning ? std::max(places.load, runner.reported_load) : places.load;
   if (runner.evacuated) {
     return Decision{.granted = false, .load = load, .wait_ms = kNoPlacesWaitMs};
   }
@@ -88,11 +88,11 @@
   return Decision{.granted = true, .load = load + 1};
 }
 
-void PlaceOwner::noteUse(const std::string& relay, const v1::PlaceUse& use, int64_t now_ms) {
+void SlotOwner::recordUsage(const std::string& relay, const v1::PlaceUse& use, int64_t now_ms) {
   take(placesOf(use.runner(), now_ms), relay, use, now_ms);
 }
 
-void PlaceOwner::forgetRelay(const std::string& relay) {
+void SlotOwner::forgetRelay(const std::string& relay) {
   for (auto& [runner, places] : runners_) {
     const auto found = places.uses.find(relay);
     if (found != places.uses.end()) {
@@ -102,7 +102,7 @@
   }
 }
 
-void PlaceOwner::forgetStale(int64_t now_ms) {
+void SlotOwner::forgetStale(int64_t now_ms) {
   for (auto& [runner, places] : runners_) {
     for (auto entry = places.uses.begin(); entry != places.uses.end();) {
       if (now_ms - entry->second.told_ms < kUseValidMs) {
@@ -116,7 +116,7 @@
   std::erase_if(runners_, [](const auto& entry) { return entry.second.uses.empty(); });
 }
 
-uint32_t PlaceOwner::loadOf(uint64_t runner) const {
+uint32_t SlotOwner::loadOf(uint64_t runner) const {
   const auto found = runners_.find(runner);
   return found == runners_.end() ? 0 : found->second.load;
 }
