--- a/src/core/relay/place_owner.h
+++ b/src/core/relay/slot_owner.h
@@ -9,19 +9,19 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/relay/place_pace.h"
+#include "core/relay/slot_rate_limiter.h"
 #include "workshatch/v1/relay.pb.h"
 
 namespace workshatch::relay {
 
 /// A relay tells what it has at a runner again after this time.
-inline constexpr int64_t kTellPlacesAgainMs = 1500;
+inline constexpr int64_t kSlotUsageReportPeriodMs = 1500;
 
 /// What the owner's own tables tell of a runner.
 struct OwnedRunner {
   /// Load by the last sums; counts while the owner has not heard of the runner for long enough to
   /// know all who use it.
-  uint32_t told_load = 0;
+  uint32_t reported_load = 0;
   /// It is in the owner's list.
   bool listed = false;
   /// Its zone is evacuated.
@@ -29,7 +29,7 @@
   /// For how long it stays cold.
   uint32_t cold_ms = 0;
   /// How many requests it gets while it is cold.
-  PaceLimit cold_pace;
+  RateLimit cold_pace;
 };
 
 /// The places of the runners that one relay owns.
@@ -50,7 +50,7 @@
 /// Guarantees: of the relays that tell it their use of a runner, no claim is granted over its
 /// limit; while a runner counts as cold, no second brings it more grants than its pace and burst.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class PlaceOwner {
+class SlotOwner {
 public:
   /// What the owner answers to a claim.
   struct Decision {
@@ -63,14 +63,14 @@
 
   /// Notes that the relays that own runners have changed: for a moment another may give places of
   /// the same runners.
-  void noteOwnersChanged(int64_t now_ms) { owners_changed_ms_ = now_ms; }
+  void recordOwnersChanged(int64_t now_ms) { owners_changed_ms_ = now_ms; }
 
   /// @param relay address of the relay that asks
   Decision claim(const std::string& relay, const v1::PlaceClaim& claim, const OwnedRunner& runner,
                  int64_t now_ms);
 
   /// Takes what a relay has at a runner; a message older than the last one is ignored.
-  void noteUse(const std::string& relay, const v1::PlaceUse& use, int64_t now_ms);
+  void recordUsage(const std::string& relay, const v1::PlaceUse& use, int64_t now_ms);
 
   /// Drops what a relay that is gone had.
   void forgetRelay(const std::string& relay);
@@ -98,7 +98,7 @@
     /// The runner counts as cold until then.
     int64_t cold_until_ms = 0;
     /// Of a runner that was cold since it is known here.
-    std::optional<PlacePace> pace;
+    std::optional<SlotRateLimiter> pace;
   };
 
   Places& placesOf(uint64_t runner, int64_t now_ms);
--- a/src/core/relay/place_owners.cc
+++ b/src/core/relay/slot_owner_map.cc
@@ -1,4 +1,4 @@
-#include "core/relay/place_owners.h"
+#include "core/relay/slot_owner_map.h"
 
 #include <algorithm>
 #include <iterator>
@@ -16,12 +16,12 @@
 
 } // namespace
 
-bool PlaceOwners::differ(std::vector<std::string> relays) const {
+bool SlotOwnerMap::differ(std::vector<std::string> relays) const {
   std::sort(relays.begin(), relays.end());
   return relays != relays_;
 }
 
-std::vector<std::string> PlaceOwners::setRelays(std::vector<std::string> relays) {
+std::vector<std::string> SlotOwnerMap::setRelays(std::vector<std::string> relays) {
   std::sort(relays.begin(), relays.end());
   std::vector<std::string> left;
   std::set_difference(relays_.begin(), relays_.end(), relays.begin(), relays.end(),
@@ -34,7 +34,7 @@
   return left;
 }
 
-const std::string* PlaceOwners::ownerOf(uint64_t runner) {
+const std::string* SlotOwnerMap::ownerOf(uint64_t runner) {
   if (relays_.empty()) {
     return nullptr;
   }
@@ -52,11 +52,11 @@
   return &relays_[found->second];
 }
 
-void PlaceOwners::noteSilent(const std::string& owner, int64_t now_ms) {
+void SlotOwnerMap::recordUnanswered(const std::string& owner, int64_t now_ms) {
   silent_until_ms_[owner] = now_ms + kSilentMs;
 }
 
-bool PlaceOwners::isSilent(const std::string& owner, int64_t now_ms) const {
+bool SlotOwnerMap::isSilent(const std::string& owner, int64_t now_ms) const {
   const auto found = silent_until_ms_.find(owner);
   return found != silent_until_ms_.end() && now_ms < found->second;
 }
--- a/src/core/relay/place_owners.h
+++ b/src/core/relay/slot_owner_map.h
@@ -12,7 +12,7 @@
 /// Ranks the relays for each runner (rendezvous hashing), so that all relays with the same list
 /// name the same owner, and a relay that comes or goes changes the owner of its own part only.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class PlaceOwners {
+class SlotOwnerMap {
 public:
   /// @return whether another list of relays than this one is in use.
   bool differ(std::vector<std::string> relays) const;
@@ -24,8 +24,8 @@
   const std::string* ownerOf(uint64_t runner);
 
   /// Notes that an owner did not answer: it is not asked for a moment.
-  void noteSilent(const std::string& owner, int64_t now_ms);
-  void noteAnswer(const std::string& owner) { silent_until_ms_.erase(owner); }
+  void recordUnanswered(const std::string& owner, int64_t now_ms);
+  void recordAnswered(const std::string& owner) { silent_until_ms_.erase(owner); }
   bool isSilent(const std::string& owner, int64_t now_ms) const;
 
 private:
--- a/src/core/relay/place_pace.cc
+++ b/src/core/relay/slot_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "core/relay/place_pace.h"
+#include "core/relay/slot_rate_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,17 +15,17 @@
 
 } // namespace
 
-PaceLimit paceLimit(double per_s, double factor, double slack) {
+RateLimit rateLimitFor(double per_s, double factor, double slack) {
   const double most = per_s * factor + slack;
   const double two_owners = 1 + kHalf;
-  PaceLimit limit;
+  RateLimit limit;
   // A bucket holds a whole request at least.
   limit.per_s = std::min(per_s, std::max((most - 1) / two_owners, kHalf));
   limit.burst = std::max(1.0, std::min(most - two_owners * limit.per_s, kMostBurst * limit.per_s));
   return limit;
 }
 
-uint32_t PlacePace::take(const PaceLimit& limit, bool halved, int64_t now_ms) {
+uint32_t SlotRateLimiter::take(const RateLimit& limit, bool halved, int64_t now_ms) {
   const double per_ms = limit.per_s * (halved ? kHalf : 1) / kMsPerSecond;
   const double burst = halved ? 1 : limit.burst;
   tokens_ = std::min(tokens_ + per_ms * static_cast<double>(now_ms - filled_ms_), burst);
--- a/src/core/relay/held_places.cc
+++ b/src/core/relay/slot_usage.cc
@@ -1,10 +1,10 @@
-#include "core/relay/held_places.h"
+#include "core/relay/slot_usage.h"
 
-#include "core/relay/place_owner.h"
+#include "core/relay/slot_owner.h"
 
 namespace workshatch::relay {
 
-void HeldPlaces::remove(uint64_t runner) {
+void SlotUsage::remove(uint64_t runner) {
   const auto found = runners_.find(runner);
   if (found == runners_.end()) {
     return;
@@ -14,7 +14,7 @@
   }
 }
 
-v1::PlaceUse HeldPlaces::tell(uint64_t runner, int64_t now_ms) {
+v1::PlaceUse SlotUsage::makeReport(uint64_t runner, int64_t now_ms) {
   v1::PlaceUse use;
   use.set_runner(runner);
   use.set_incarnation(incarnation_);
@@ -27,17 +27,17 @@
   return use;
 }
 
-std::vector<uint64_t> HeldPlaces::due(int64_t now_ms) const {
+std::vector<uint64_t> SlotUsage::dueRunners(int64_t now_ms) const {
   std::vector<uint64_t> due;
   for (const auto& [runner, held] : runners_) {
-    if (now_ms - held.told_ms >= kTellPlacesAgainMs) {
+    if (now_ms - held.told_ms >= kSlotUsageReportPeriodMs) {
       due.push_back(runner);
     }
   }
   return due;
 }
 
-std::vector<uint64_t> HeldPlaces::runners() const {
+std::vector<uint64_t> SlotUsage::runners() const {
   std::vector<uint64_t> runners;
   for (const auto& [runner, held] : runners_) {
     runners.push_back(runner);
@@ -45,7 +45,7 @@
   return runners;
 }
 
-uint32_t HeldPlaces::heldAt(uint64_t runner) const {
+uint32_t SlotUsage::heldAt(uint64_t runner) const {
   const auto found = runners_.find(runner);
   return found == runners_.end() ? 0 : found->second.held;
 }
--- a/src/core/relay/held_places.h
+++ b/src/core/relay/slot_usage.h
@@ -12,19 +12,19 @@
 
 /// Counts the places that this relay holds and numbers what it tells of them.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
-class HeldPlaces {
+class SlotUsage {
 public:
   /// @param incarnation differs with each start of the process
-  explicit HeldPlaces(uint32_t incarnation) : incarnation_(incarnation) {}
+  explicit SlotUsage(uint32_t incarnation) : incarnation_(incarnation) {}
 
   void add(uint64_t runner) { ++runners_[runner].held; }
   void remove(uint64_t runner);
 
   /// @return the message that tells what is held at the runner now.
-  v1::PlaceUse tell(uint64_t runner, int64_t now_ms);
+  v1::PlaceUse makeReport(uint64_t runner, int64_t now_ms);
 
-  /// @return runners with places held of which nothing was told for `kTellPlacesAgainMs`.
-  std::vector<uint64_t> due(int64_t now_ms) const;
+  /// @return runners with places held of which nothing was told for `kSlotUsageReportPeriodMs`.
+  std::vector<uint64_t> dueRunners(int64_t now_ms) const;
   /// Runners with places held.
   std::vector<uint64_t> runners() const;
   uint32_t heldAt(uint64_t runner) const;
--- a/src/core/relay/tenant_shares.cc
+++ b/src/core/relay/tenant_shares.cc
@@ -17,14 +17,14 @@
 
 } // namespace
 
-void TenantUse::end(const std::string& tenant) {
+void TenantUsage::end(const std::string& tenant) {
   const auto found = in_progress_.find(tenant);
   if (found != in_progress_.end() && --found->second == 0) {
     in_progress_.erase(found);
   }
 }
 
-v1::TenantLoads TenantUse::report(const Configuration& configuration) const {
+v1::TenantLoads TenantUsage::report(const Configuration& configuration) const {
   v1::TenantLoads report;
   report.set_configuration_version(configuration.version);
   for (uint32_t position = 0; position < configuration.tenants.size(); ++position) {
@@ -37,8 +37,8 @@
   return report;
 }
 
-void TenantUse::setOverShare(const v1::TenantPositions& over_share,
-                             const Configuration& configuration) {
+void TenantUsage::setOverShare(const v1::TenantPositions& over_share,
+                               const Configuration& configuration) {
   if (over_share.configuration_version() != configuration.version) {
     return;
   }
@@ -50,7 +50,7 @@
   }
 }
 
-void TenantSums::add(const v1::TenantLoads& report) {
+void TenantTotals::add(const v1::TenantLoads& report) {
   if (report.configuration_version() != version_ ||
       report.positions_size() != report.in_progress_size()) {
     return;
@@ -67,7 +67,7 @@
   }
 }
 
-v1::TenantPositions TenantSums::overShare(uint64_t places) const {
+v1::TenantPositions TenantTotals::overShare(uint64_t places) const {
   v1::TenantPositions over_share;
   over_share.set_configuration_version(version_);
   const uint64_t total = std::accumulate(in_progress_.begin(), in_progress_.end(), uint64_t{0});
--- a/src/core/relay/tenant_shares.h
+++ b/src/core/relay/tenant_shares.h
@@ -15,7 +15,7 @@
 
 /// One relay's part: its requests in progress by tenant, and what the leader told of the tenants.
 /// Tenants travel as positions in the configuration with a version. Not safe for concurrent use.
-class TenantUse {
+class TenantUsage {
 public:
   void begin(const std::string& tenant) { ++in_progress_[tenant]; }
   void end(const std::string& tenant);
@@ -32,9 +32,9 @@
 };
 
 /// The leader's part: sums over the relays that hold the same configuration.
-class TenantSums {
+class TenantTotals {
 public:
-  explicit TenantSums(uint64_t configuration_version) : version_(configuration_version) {}
+  explicit TenantTotals(uint64_t configuration_version) : version_(configuration_version) {}
 
   /// Adds one relay's report; one about another configuration is left out.
   void add(const v1::TenantLoads& report);
--- a/src/core/relay/version_comparison.cc
+++ b/src/core/relay/version_comparison.cc
@@ -11,12 +11,12 @@
 using Times = std::array<uint64_t, kTimeBuckets>;
 
 /// Answers of the former version from which its times are known.
-constexpr uint64_t kLeastTimes = 20;
+constexpr uint64_t kMinSamples = 20;
 /// Part of the former version's answers that are slower than its usual ones.
-constexpr double kSlowPart = 0.05;
+constexpr double kSlowFraction = 0.05;
 /// Bad answers beyond the expected ones from which there is evidence: one runner that fails is
 /// none.
-constexpr double kLeastExcess = 6;
+constexpr double kMinExcess = 6;
 /// An answer is late when it takes so many doublings of the former version's slower times. The
 /// first part of an answer may take longer at a version whose runners have no prompts cached yet.
 constexpr size_t kLateStepDoublings = 1;
@@ -31,9 +31,9 @@
   return std::accumulate(times.begin() + static_cast<ptrdiff_t>(from), times.end(), uint64_t{0});
 }
 
-/// @return the first bucket over which at most `kSlowPart` of the times lie.
+/// @return the first bucket over which at most `kSlowFraction` of the times lie.
 size_t slowBucketOf(const Times& times) {
-  const auto allowed = static_cast<uint64_t>(kSlowPart * static_cast<double>(sumOf(times)));
+  const auto allowed = static_cast<uint64_t>(kSlowFraction * static_cast<double>(sumOf(times)));
   size_t bucket = 0;
   while (bucket + 1 < times.size() && countAbove(times, bucket) > allowed) {
     ++bucket;
@@ -43,7 +43,7 @@
 
 Evidence compareTimes(const Times& target, const Times& former, size_t late_doublings) {
   const uint64_t former_all = sumOf(former);
-  if (former_all < kLeastTimes) {
+  if (former_all < kMinSamples) {
     return {};
   }
   const size_t late = slowBucketOf(former) + late_doublings * kBucketsPerDoubling;
@@ -57,7 +57,7 @@
 }
 
 Evidence stronger(const Evidence& held, const Evidence& other) {
-  const bool counts = other.excess >= kLeastExcess;
+  const bool counts = other.excess >= kMinExcess;
   return counts && held.strength < other.strength ? other : held;
 }
 
--- a/src/core/routing/fleet_table.cc
+++ b/src/core/routing/fleet_table.cc
@@ -11,52 +11,54 @@
   }
 }
 
-void FleetTable::failed(const std::string& runner, int64_t now_ms) {
+void FleetTable::recordFailure(const std::string& runner, int64_t now_ms) {
   Health& health = health_[runner];
-  if (health.held && now_ms - health.failed_ms < health.hold_down_ms) {
+  if (health.hold_down_active && now_ms - health.failed_ms < health.hold_down_ms) {
     return;
   }
-  const bool recent = health.held && now_ms - health.failed_ms < options_.forget_ms;
+  const bool recent =
+      health.hold_down_active && now_ms - health.failed_ms < options_.reset_after_ms;
   health.hold_down_ms =
-      recent ? std::min(health.hold_down_ms * 2, options_.longest_ms) : options_.first_ms;
+      recent ? std::min(health.hold_down_ms * 2, options_.max_ms) : options_.initial_ms;
   health.failed_ms = now_ms;
-  health.held = true;
+  health.hold_down_active = true;
 }
 
-void FleetTable::succeeded(const std::string& runner, int64_t now_ms) {
+void FleetTable::recordSuccess(const std::string& runner, int64_t now_ms) {
   const auto found = health_.find(runner);
-  if (found != health_.end() && now_ms - found->second.failed_ms > options_.forget_ms) {
-    found->second.held = false;
+  if (found != health_.end() && now_ms - found->second.failed_ms > options_.reset_after_ms) {
+    found->second.hold_down_active = false;
   }
 }
 
-void FleetTable::askedForBackoff(const std::string& runner, uint32_t asked_ms, int64_t now_ms) {
-  health_[runner].backoff.note(asked_ms, now_ms);
+void FleetTable::recordBackoffRequest(const std::string& runner, uint32_t asked_ms,
+                                      int64_t now_ms) {
+  health_[runner].backoff.extend(asked_ms, now_ms);
 }
 
-void FleetTable::saidLeaving(const std::string& runner, bool leaving) {
+void FleetTable::setReportedLeaving(const std::string& runner, bool leaving) {
   const auto found = health_.find(runner);
   if (leaving || found != health_.end()) {
-    health_[runner].said_leaving = leaving;
+    health_[runner].reported_leaving = leaving;
   }
 }
 
-bool FleetTable::heldDown(const std::string& runner, int64_t now_ms) const {
+bool FleetTable::isHeldDown(const std::string& runner, int64_t now_ms) const {
   const auto found = health_.find(runner);
-  return found != health_.end() && found->second.held &&
+  return found != health_.end() && found->second.hold_down_active &&
          now_ms - found->second.failed_ms < found->second.hold_down_ms;
 }
 
-bool FleetTable::backingOff(const std::string& runner, int64_t now_ms) const {
+bool FleetTable::isBackingOff(const std::string& runner, int64_t now_ms) const {
   const auto found = health_.find(runner);
-  return found != health_.end() && found->second.backoff.holds(now_ms);
+  return found != health_.end() && found->second.backoff.isActive(now_ms);
 }
 
-bool FleetTable::leaving(const ListedRunner& listed) const {
+bool FleetTable::isLeaving(const ListedRunner& listed) const {
   const auto drained = draining_.find(listed.runner);
   const auto health = health_.find(listed.runner);
   return listed.leaving || (drained != draining_.end() && drained->second) ||
-         (health != health_.end() && health->second.said_leaving);
+         (health != health_.end() && health->second.reported_leaving);
 }
 
 void FleetTable::appendEngines(const ListedRunner& listed, int64_t now_ms,
@@ -69,9 +71,9 @@
     info.service = listed.service;
     info.zone = listed.zone;
     info.number = number;
-    info.leaving = leaving(listed);
-    info.held_down = heldDown(listed.runner, now_ms);
-    info.backing_off = backingOff(listed.runner, now_ms);
+    info.leaving = isLeaving(listed);
+    info.held_down = isHeldDown(listed.runner, now_ms);
+    info.backing_off = isBackingOff(listed.runner, now_ms);
     result.push_back(std::move(info));
   }
 }
--- a/src/core/routing/fleet_table.h
+++ b/src/core/routing/fleet_table.h
@@ -43,10 +43,10 @@
 };
 
 struct HoldDownOptions {
-  int64_t first_ms = 500;
-  int64_t longest_ms = 30'000;
+  int64_t initial_ms = 500;
+  int64_t max_ms = 30'000;
   /// A runner without failures for this long starts again with the first hold-down.
-  int64_t forget_ms = 60'000;
+  int64_t reset_after_ms = 60'000;
 };
 
 /// Times are milliseconds of a monotonic clock. Not safe for concurrent use.
@@ -58,12 +58,12 @@
   void configure(const v1::Configuration& configuration);
 
   /// A runner could not be reached or broke off.
-  void failed(const std::string& runner, int64_t now_ms);
-  void succeeded(const std::string& runner, int64_t now_ms);
+  void recordFailure(const std::string& runner, int64_t now_ms);
+  void recordSuccess(const std::string& runner, int64_t now_ms);
   /// A runner asked for no requests for a time.
-  void askedForBackoff(const std::string& runner, uint32_t asked_ms, int64_t now_ms);
+  void recordBackoffRequest(const std::string& runner, uint32_t asked_ms, int64_t now_ms);
   /// A runner's own word that it is leaving, or is not any more.
-  void saidLeaving(const std::string& runner, bool leaving);
+  void setReportedLeaving(const std::string& runner, bool leaving);
 
   /// All engines of a service, leaving and held down ones included.
   std::vector<EngineInfo> engines(const std::string& service, int64_t now_ms) const;
@@ -74,16 +74,16 @@
   struct Health {
     int64_t failed_ms = 0;
     int64_t hold_down_ms = 0;
-    bool held = false;
-    bool said_leaving = false;
+    bool hold_down_active = false;
+    bool reported_leaving = false;
     Backoff backoff;
   };
 
   void appendEngines(const ListedRunner& listed, int64_t now_ms,
                      std::vector<EngineInfo>& result) const;
-  bool heldDown(const std::string& runner, int64_t now_ms) const;
-  bool backingOff(const std::string& runner, int64_t now_ms) const;
-  bool leaving(const ListedRunner& listed) const;
+  bool isHeldDown(const std::string& runner, int64_t now_ms) const;
+  bool isBackingOff(const std::string& runner, int64_t now_ms) const;
+  bool isLeaving(const ListedRunner& listed) const;
 
   const HoldDownOptions options_;
   std::vector<ListedRunner> listed_;
--- a/src/core/routing/ownership_memo.cc
+++ b/src/core/routing/ownership_cache.cc
@@ -1,11 +1,11 @@
-#include "core/routing/ownership_memo.h"
+#include "core/routing/ownership_cache.h"
 
 #include "core/routing/engine_owner.h"
 
 namespace workshatch::routing {
 
-bool OwnershipMemo::owns(const std::shared_ptr<const v1::View>& view, const std::string& engine,
-                         const std::string& zone) {
+bool OwnershipCache::owns(const std::shared_ptr<const v1::View>& view, const std::string& engine,
+                          const std::string& zone) {
   if (view_ != view) {
     view_ = view;
     owned_.clear();
--- a/src/core/routing/ownership_memo.h
+++ b/src/core/routing/ownership_cache.h
@@ -11,9 +11,9 @@
 namespace workshatch::routing {
 
 /// Not safe for concurrent use.
-class OwnershipMemo {
+class OwnershipCache {
 public:
-  explicit OwnershipMemo(std::string router) : router_(std::move(router)) {}
+  explicit OwnershipCache(std::string router) : router_(std::move(router)) {}
 
   /// @return whether the router owns the engine under `view`. A new view starts the memo anew.
   bool owns(const std::shared_ptr<const v1::View>& view, const std::string& engine,
--- a/src/core/routing/rendezvous.h
+++ b/src/core/routing/rendezvous.h
@@ -26,7 +26,7 @@
 /// @param first how many are ordered
 /// @param name_of gives a node's name
 template <typename Node, typename NameOf>
-std::vector<Node> rankFirst(uint64_t key, std::vector<Node> nodes, size_t first, NameOf name_of) {
+std::vector<Node> rankTop(uint64_t key, std::vector<Node> nodes, size_t first, NameOf name_of) {
   struct Weighted {
     uint64_t weight = 0;
     size_t index = 0;
@@ -57,7 +57,7 @@
 template <typename Node, typename NameOf>
 std::vector<Node> rank(uint64_t key, std::vector<Node> nodes, NameOf name_of) {
   const size_t all = nodes.size();
-  return rankFirst(key, std::move(nodes), all, name_of);
+  return rankTop(key, std::move(nodes), all, name_of);
 }
 
 } // namespace workshatch::routing
--- a/src/core/serving/serving_state.h
+++ b/src/core/serving/serving_state.h
@@ -11,7 +11,7 @@
 namespace workshatch::serving {
 
 /// An immutable copy of what is in force, shared by the requests that run under it.
-struct InForce {
+struct ServingSnapshot {
   uint64_t revision = 0;
   std::shared_ptr<const v1::Configuration> configuration;
   std::shared_ptr<const v1::View> view;
@@ -32,19 +32,19 @@
   /// Takes over the answer to a renewal.
   /// @param sent_ms when the renewal was sent
   /// @return false when the answer does not fit what is in force and was ignored.
-  bool renewed(const v1::RenewReply& reply, int64_t sent_ms);
+  bool applyRenewal(const v1::RenewReply& reply, int64_t sent_ms);
 
   /// @return whether requests may be served now.
   bool mayServe(int64_t now_ms) const;
 
   /// Takes note that permits of engines with a new owner were reported under this view.
-  void viewReported(uint64_t view) { reported_view_ = view; }
+  void setReportedView(uint64_t view) { reported_view_ = view; }
 
   uint64_t reportedView() const { return reported_view_; }
-  const InForce& inForce() const { return in_force_; }
+  const ServingSnapshot& snapshot() const { return snapshot_; }
 
 private:
-  InForce in_force_;
+  ServingSnapshot snapshot_;
   uint64_t reported_view_ = 0;
 };
 
--- a/src/daemon/configuration_transfer.cc
+++ b/src/daemon/configuration_transfer.cc
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr size_t kMostDocuments = 8;
+constexpr size_t kMaxDocuments = 8;
 /// Older documents are given up beyond this; the newest two are kept whatever their size.
-constexpr size_t kMostBytes = size_t{4} * 1024 * 1024;
-constexpr size_t kLeastDocuments = 2;
+constexpr size_t kMaxDocumentBytes = size_t{4} * 1024 * 1024;
+constexpr size_t kMinDocuments = 2;
 
 } // namespace
 
@@ -27,41 +27,42 @@
   return stored;
 }
 
-Result<std::string> documentOf(const v1::StoredConfiguration& stored) {
+Result<std::string> unpackConfiguration(const v1::StoredConfiguration& stored) {
   return compression::inflate(stored.compressed_document(), stored.document_bytes());
 }
 
-void ConfigurationSender::add(const v1::StoredConfiguration& stored) {
+void ConfigurationUpdateBuilder::add(const v1::StoredConfiguration& stored) {
   const uint64_t newest = documents_.empty() ? 0 : documents_.back().version;
   if (stored.version() <= newest) {
     return;
   }
-  Result<std::string> document = documentOf(stored);
+  Result<std::string> document = unpackConfiguration(stored);
   // Only what this program packed is ever stored.
   WORKSHATCH_CHECK(!isError(document), "a stored configuration is damaged");
   documents_.push_back(
       Document{.version = stored.version(), .text = std::move(std::get<std::string>(document))});
   bytes_ += documents_.back().text.size();
   updates_.clear();
-  while (documents_.size() > kMostDocuments ||
-         (bytes_ > kMostBytes && documents_.size() > kLeastDocuments)) {
+  while (documents_.size() > kMaxDocuments ||
+         (bytes_ > kMaxDocumentBytes && documents_.size() > kMinDocuments)) {
     dropOldest();
   }
 }
 
-void ConfigurationSender::dropOldest() {
+void ConfigurationUpdateBuilder::dropOldest() {
   bytes_ -= documents_.front().text.size();
   documents_.pop_front();
 }
 
-const ConfigurationSender::Document* ConfigurationSender::find(uint64_t version) const {
+const ConfigurationUpdateBuilder::Document*
+ConfigurationUpdateBuilder::find(uint64_t version) const {
   const auto found =
       std::find_if(documents_.begin(), documents_.end(),
                    [version](const Document& held) { return held.version == version; });
   return found == documents_.end() ? nullptr : &*found;
 }
 
-const v1::ConfigurationUpdate& ConfigurationSender::updateFrom(uint64_t base_version) {
+const v1::ConfigurationUpdate& ConfigurationUpdateBuilder::updateFrom(uint64_t base_version) {
   const uint64_t known_base = find(base_version) == nullptr ? 0 : base_version;
   const auto made = updates_.find(known_base);
   if (made != updates_.end()) {
@@ -70,7 +71,7 @@
   return updates_.emplace(known_base, makeUpdate(known_base)).first->second;
 }
 
-v1::ConfigurationUpdate ConfigurationSender::makeUpdate(uint64_t base_version) const {
+v1::ConfigurationUpdate ConfigurationUpdateBuilder::makeUpdate(uint64_t base_version) const {
   v1::ConfigurationUpdate update;
   if (documents_.empty()) {
     return update;
--- a/src/daemon/configuration_transfer.h
+++ b/src/daemon/configuration_transfer.h
@@ -18,11 +18,11 @@
 v1::StoredConfiguration packConfiguration(uint64_t version, std::string_view document);
 
 /// @return the document of a stored configuration, or an error when it is damaged.
-Result<std::string> documentOf(const v1::StoredConfiguration& stored);
+Result<std::string> unpackConfiguration(const v1::StoredConfiguration& stored);
 
 /// Makes the updates that relays are sent. Remembers the newest documents, so that a relay that
 /// holds one of them is sent the difference only. Not safe for concurrent use.
-class ConfigurationSender {
+class ConfigurationUpdateBuilder {
 public:
   /// Takes the newest configuration.
   void add(const v1::StoredConfiguration& stored);
--- a/src/daemon/control/control_calls.cc
+++ b/src/daemon/control/control_calls.cc
@@ -29,7 +29,7 @@
 }
 
 void ControlReplica::hello(const v1::HelloRequest& /*request*/, CallCallback<v1::HelloReply> done) {
-  post([this, reply = calls_.take(std::move(done))] {
+  post([this, reply = calls_.accept(std::move(done))] {
     v1::HelloReply answer;
     answer.set_id(id_);
     *answer.mutable_membership() = node_->membership();
@@ -37,7 +37,7 @@
   });
 }
 
-void ControlReplica::helloAnswered(const std::string& address, const v1::HelloReply& reply) {
+void ControlReplica::helloReplyReceived(const std::string& address, const v1::HelloReply& reply) {
   post([this, address, reply] {
     if (!ungrouped_ || reply.membership().members_size() != 0) {
       // A group exists without this replica's state: it waits to be made a member.
@@ -54,18 +54,19 @@
 bool ControlReplica::ungrouped() const { return ungrouped_; }
 
 void ControlReplica::renew(v1::RenewRequest request, CallCallback<v1::RenewReply> done) {
-  post([this, request = std::move(request), reply = calls_.take(std::move(done))] {
+  post([this, request = std::move(request), reply = calls_.accept(std::move(done))] {
     handleRenew(request, reply);
   });
 }
 
 void ControlReplica::handleRenew(const v1::RenewRequest& request,
                                  const ReplyCallback<v1::RenewReply>& reply) {
-  if (!duties_ || !node_->committedInTerm() || !node_->hasLeaderLease()) {
+  if (!router_manager_ || !node_->committedInTerm() || !node_->hasLeaderLease()) {
     reply(notLeader<v1::RenewReply>());
     return;
   }
-  control::LeaderDuties::Renewal renewal = duties_->renew(request, state_, clock_.monotonicMs());
+  control::RouterManager::Renewal renewal =
+      router_manager_->renew(request, state_, clock_.monotonicMs());
   if (renewal.command) {
     propose(std::move(*renewal.command), [](const ProposalOutcome&) {});
   }
@@ -85,25 +86,25 @@
   });
 }
 
-void ControlReplica::changeLedger(v1::Command command, CallCallback<ProposalOutcome> done) {
-  propose(std::move(command), calls_.take(std::move(done)));
+void ControlReplica::proposeLedgerChange(v1::Command command, CallCallback<ProposalOutcome> done) {
+  propose(std::move(command), calls_.accept(std::move(done)));
 }
 
 void ControlReplica::apply(v1::ApplyRequest request, CallCallback<v1::ApplyReply> done) {
   v1::Command command;
   *command.mutable_apply() = std::move(request);
-  change(std::move(command), calls_.take(std::move(done)));
+  proposeChange(std::move(command), calls_.accept(std::move(done)));
 }
 
 void ControlReplica::drainRunner(v1::DrainRunnerRequest request,
                                  CallCallback<v1::ApplyReply> done) {
   v1::Command command;
   *command.mutable_drain_runner() = std::move(request);
-  change(std::move(command), calls_.take(std::move(done)));
+  proposeChange(std::move(command), calls_.accept(std::move(done)));
 }
 
 /// Proposes a change of the configuration and answers once it is in force, or is not going to be.
-void ControlReplica::change(v1::Command command, ReplyCallback<v1::ApplyReply> reply) {
+void ControlReplica::proposeChange(v1::Command command, ReplyCallback<v1::ApplyReply> reply) {
   propose(std::move(command), [this, reply = std::move(reply)](const ProposalOutcome& outcome) {
     awaitAccept(outcome, reply);
   });
@@ -124,9 +125,10 @@
     reply(answer);
     return;
   }
-  accept_waits_.push_back(AcceptWait{.revision = answer.revision(),
-                                     .until_ms = clock_.monotonicMs() + options_.accept_wait_ms,
-                                     .reply = reply});
+  pending_accepts_.push_back(
+      PendingAccept{.revision = answer.revision(),
+                    .until_ms = clock_.monotonicMs() + options_.accept_wait_ms,
+                    .reply = reply});
 }
 
 void ControlReplica::depart(v1::RouterKey router, CallCallback<v1::DepartReply> done) {
@@ -134,7 +136,7 @@
   command.mutable_drop_routers()->set_departed(true);
   *command.mutable_drop_routers()->add_routers() = std::move(router);
   propose(std::move(command),
-          [this, reply = calls_.take(std::move(done))](const ProposalOutcome& outcome) {
+          [this, reply = calls_.accept(std::move(done))](const ProposalOutcome& outcome) {
             if (std::holds_alternative<NotLeader>(outcome)) {
               reply(notLeader<v1::DepartReply>());
               return;
@@ -145,15 +147,15 @@
           });
 }
 
-void ControlReplica::readThen(std::function<void(bool confirmed)> done) {
+void ControlReplica::confirmRead(std::function<void(bool confirmed)> done) {
   const uint64_t context = next_context_++;
   reads_[context] = std::move(done);
   node_->requestRead(context);
 }
 
 void ControlReplica::get(CallCallback<v1::GetReply> done) {
-  post([this, reply = calls_.take(std::move(done))] {
-    readThen([this, reply](bool confirmed) {
+  post([this, reply = calls_.accept(std::move(done))] {
+    confirmRead([this, reply](bool confirmed) {
       if (!confirmed) {
         reply(notLeader<v1::GetReply>());
         return;
@@ -167,9 +169,9 @@
 }
 
 void ControlReplica::status(CallCallback<v1::StatusReply> done) {
-  post([this, reply = calls_.take(std::move(done))] {
-    readThen([this, reply](bool confirmed) {
-      if (!confirmed || !duties_) {
+  post([this, reply = calls_.accept(std::move(done))] {
+    confirmRead([this, reply](bool confirmed) {
+      if (!confirmed || !router_manager_) {
         reply(notLeader<v1::StatusReply>());
         return;
       }
@@ -180,10 +182,10 @@
       answer.set_commit_index(node_->commitIndex());
       answer.set_revision(state_.revision());
       answer.set_view_number(state_.view().number());
-      answer.set_settled_view(duties_->leases().settledView(state_.view()));
+      answer.set_settled_view(router_manager_->leases().settledView(state_.view()));
       answer.set_ledger_entries(state_.ledgerEntries());
       for (const v1::RouterEntry& router : state_.view().routers()) {
-        *answer.add_routers() = duties_->leases().status(router, now);
+        *answer.add_routers() = router_manager_->leases().status(router, now);
       }
       const v1::RaftMembership membership = node_->membership();
       for (const v1::RaftMember& member : membership.members()) {
@@ -198,18 +200,19 @@
 
 void ControlReplica::replaceReplica(v1::ReplaceReplicaRequest request,
                                     CallCallback<v1::ReplaceReplicaReply> done) {
-  post([this, request = std::move(request), reply = calls_.take(std::move(done))] {
-    if (!duties_ || !node_->committedInTerm()) {
+  post([this, request = std::move(request), reply = calls_.accept(std::move(done))] {
+    if (!router_manager_ || !node_->committedInTerm()) {
       reply(notLeader<v1::ReplaceReplicaReply>());
       return;
     }
-    reply(stepReplacement(request));
+    reply(advanceReplacement(request));
   });
 }
 
 /// One step towards the membership asked for: learner, caught up, old member out, voter. The
 /// operator's tool calls again until it is done.
-v1::ReplaceReplicaReply ControlReplica::stepReplacement(const v1::ReplaceReplicaRequest& request) {
+v1::ReplaceReplicaReply
+ControlReplica::advanceReplacement(const v1::ReplaceReplicaRequest& request) {
   v1::ReplaceReplicaReply reply;
   v1::RaftMembership membership = node_->membership();
   auto* members = membership.mutable_members();
--- a/src/daemon/control/control_loop.cc
+++ b/src/daemon/control/control_loop.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// Ticks made up for at most, after the process was stopped for a while.
-constexpr int64_t kMostTicksBehind = 1000;
+constexpr int64_t kMaxCatchUpTicks = 1000;
 /// How often a stop looks whether leadership is handed over.
 constexpr std::chrono::milliseconds kHandOverPoll{10};
 /// Time for the loop to end what it does. A write with its sync takes some milliseconds, a snapshot
@@ -27,7 +27,7 @@
   if (!thread_.joinable()) {
     return StopOutcome::Ended;
   }
-  handOver();
+  handOverLeadership();
   // A call that the ended loop leaves unanswered would keep the server from ending.
   calls_.end();
   {
@@ -36,7 +36,7 @@
   }
   wake_.notify_all();
   // Without a limit, a disk that hangs would keep the process for good.
-  if (!loopEndsWithin(kLoopEndLimit)) {
+  if (!waitForLoopEnd(kLoopEndLimit)) {
     logging::write(logging::Severity::Error, "replica_given_up",
                    {{"waiting_for", "disk"}, {"waited_ms", kLoopEndLimit.count()}});
     return StopOutcome::DiskHangs;
@@ -45,13 +45,13 @@
   const CallCounts counts = calls_.counts();
   logging::write(
       logging::Severity::Info, "replica_ended",
-      {{"taken", counts.taken}, {"answered", counts.answered}, {"refused", counts.refused}});
+      {{"taken", counts.accepted}, {"answered", counts.answered}, {"refused", counts.refused}});
   return StopOutcome::Ended;
 }
 
 /// Waits until another replica may lead, at most an election timeout. Asks nothing of the loop,
 /// which may wait for the disk.
-void ControlReplica::handOver() {
+void ControlReplica::handOverLeadership() {
   post([this] {
     node_->transferLeadership();
     processReady();
@@ -62,7 +62,7 @@
   }
 }
 
-bool ControlReplica::loopEndsWithin(std::chrono::milliseconds limit) {
+bool ControlReplica::waitForLoopEnd(std::chrono::milliseconds limit) {
   std::unique_lock lock(mutex_);
   return loop_ended_changed_.wait_for(lock, limit, [this] { return loop_ended_; });
 }
@@ -103,15 +103,15 @@
     item();
   }
   processReady();
-  leaderDuties();
+  runLeaderTasks();
   processReady();
 }
 
 void ControlReplica::runTicks() {
   const int64_t now = clock_.monotonicMs();
   const int64_t behind = (now - next_tick_ms_) / options_.heartbeat_ms;
-  if (behind > kMostTicksBehind) {
-    next_tick_ms_ = now - kMostTicksBehind * options_.heartbeat_ms;
+  if (behind > kMaxCatchUpTicks) {
+    next_tick_ms_ = now - kMaxCatchUpTicks * options_.heartbeat_ms;
   }
   while (next_tick_ms_ <= now) {
     next_tick_ms_ += options_.heartbeat_ms;
@@ -124,26 +124,26 @@
   while (true) {
     const int64_t begin_ms = clock_.monotonicMs();
     const auto written = store_.write(ready);
-    noteWriteTime(clock_.monotonicMs() - begin_ms);
+    logSlowWrite(clock_.monotonicMs() - begin_ms);
     if (!isError(written)) {
-      noteDiskWorks();
+      handleDiskSuccess();
       return true;
     }
-    noteDiskRefuses(errorOf(written));
+    handleDiskFailure(errorOf(written));
     if (!waitForDisk()) {
       return false;
     }
   }
 }
 
-void ControlReplica::noteDiskWorks() {
+void ControlReplica::handleDiskSuccess() {
   if (std::exchange(disk_failing_, false)) {
-    calls_.takeAgain();
+    calls_.resumeAccepting();
     logging::write(logging::Severity::Warning, "disk_recovered", nlohmann::json::object());
   }
 }
 
-void ControlReplica::noteDiskRefuses(const Error& error) {
+void ControlReplica::handleDiskFailure(const Error& error) {
   if (!std::exchange(disk_failing_, true)) {
     // Callers turn to another replica; this one would leave them to their own deadlines.
     calls_.refuseAll();
@@ -165,7 +165,7 @@
 }
 
 /// Tells of a write that took so long that other replicas may have stood for election meanwhile.
-void ControlReplica::noteWriteTime(int64_t took_ms) const {
+void ControlReplica::logSlowWrite(int64_t took_ms) const {
   if (took_ms >= options_.heartbeat_ms * options_.election_ticks) {
     logging::write(logging::Severity::Warning, "disk_slow",
                    {{"took_ms", took_ms}, {"leads", leads_.load()}});
--- a/src/daemon/control/control_replica.cc
+++ b/src/daemon/control/control_replica.cc
@@ -79,7 +79,7 @@
       }
     }
   }
-  noteLeadership();
+  updateLeadership();
   compactIfDue();
 }
 
@@ -121,21 +121,21 @@
   }
 }
 
-void ControlReplica::noteLeadership() {
+void ControlReplica::updateLeadership() {
   leads_ = node_->isLeader();
   if (!node_->isLeader()) {
-    if (duties_) {
-      duties_.reset();
+    if (router_manager_) {
+      router_manager_.reset();
       failPending();
       logging::write(logging::Severity::Info, "leadership_lost", {{"term", node_->term()}});
     }
     return;
   }
-  if (duties_ && leader_term_ == node_->term()) {
+  if (router_manager_ && leader_term_ == node_->term()) {
     return;
   }
   leader_term_ = node_->term();
-  duties_.emplace(options_.leases);
+  router_manager_.emplace(options_.leases);
   logging::write(logging::Severity::Info, "leadership_won", {{"term", node_->term()}, {"id", id_}});
 }
 
@@ -146,17 +146,17 @@
   for (auto& [context, done] : std::exchange(reads_, {})) {
     done(false);
   }
-  for (AcceptWait& wait : std::exchange(accept_waits_, {})) {
+  for (PendingAccept& wait : std::exchange(pending_accepts_, {})) {
     wait.reply(notLeader<v1::ApplyReply>());
   }
 }
 
-void ControlReplica::leaderDuties() {
-  if (!duties_ || !node_->committedInTerm()) {
+void ControlReplica::runLeaderTasks() {
+  if (!router_manager_ || !node_->committedInTerm()) {
     return;
   }
-  checkAcceptWaits();
-  std::optional<v1::Command> drop = duties_->dropExpired(state_, clock_.monotonicMs());
+  checkPendingAccepts();
+  std::optional<v1::Command> drop = router_manager_->dropExpired(state_, clock_.monotonicMs());
   if (!drop) {
     return;
   }
@@ -168,17 +168,18 @@
   propose(std::move(*drop), [](const ProposalOutcome&) {});
 }
 
-void ControlReplica::checkAcceptWaits() {
+void ControlReplica::checkPendingAccepts() {
   const int64_t now = clock_.monotonicMs();
-  std::vector<AcceptWait> kept;
-  for (AcceptWait& wait : std::exchange(accept_waits_, {})) {
+  std::vector<PendingAccept> kept;
+  for (PendingAccept& wait : std::exchange(pending_accepts_, {})) {
     v1::ApplyReply reply;
     reply.set_revision(wait.revision);
-    if (duties_->inForceEverywhere(state_, wait.revision)) {
+    if (router_manager_->isActiveOnAllRouters(state_, wait.revision)) {
       reply.set_state(v1::APPLY_ACCEPTED);
       wait.reply(std::move(reply));
     } else if (now >= wait.until_ms) {
-      const auto waiting_for = duties_->leases().waitingFor(state_.view(), wait.revision);
+      const auto waiting_for =
+          router_manager_->leases().routersBehind(state_.view(), wait.revision);
       reply.set_state(v1::APPLY_PENDING);
       reply.mutable_waiting_for()->Assign(waiting_for.begin(), waiting_for.end());
       wait.reply(std::move(reply));
@@ -186,8 +187,8 @@
       kept.push_back(std::move(wait));
     }
   }
-  for (AcceptWait& wait : kept) {
-    accept_waits_.push_back(std::move(wait));
+  for (PendingAccept& wait : kept) {
+    pending_accepts_.push_back(std::move(wait));
   }
 }
 
--- a/src/daemon/control/control_replica.h
+++ b/src/daemon/control/control_replica.h
@@ -16,8 +16,8 @@
 #include <variant>
 #include <vector>
 
-#include "core/control/leader_duties.h"
 #include "core/control/replicated_state.h"
+#include "core/control/router_manager.h"
 #include "core/raft/raft_node.h"
 #include "daemon/open_calls.h"
 #include "ports/clock.h"
@@ -75,14 +75,14 @@
   void deliver(v1::RaftBatch batch);
   void hello(const v1::HelloRequest& request, CallCallback<v1::HelloReply> done);
   /// Answer of another replica to this one's hello, while no group exists here.
-  void helloAnswered(const std::string& address, const v1::HelloReply& reply);
+  void helloReplyReceived(const std::string& address, const v1::HelloReply& reply);
   /// @return whether this replica has never been part of a group.
   bool ungrouped() const;
   uint64_t id() const { return id_; }
 
   void renew(v1::RenewRequest request, CallCallback<v1::RenewReply> done);
   /// Proposes a change of the ledger.
-  void changeLedger(v1::Command command, CallCallback<ProposalOutcome> done);
+  void proposeLedgerChange(v1::Command command, CallCallback<ProposalOutcome> done);
   void apply(v1::ApplyRequest request, CallCallback<v1::ApplyReply> done);
   void drainRunner(v1::DrainRunnerRequest request, CallCallback<v1::ApplyReply> done);
   void depart(v1::RouterKey router, CallCallback<v1::DepartReply> done);
@@ -93,7 +93,7 @@
   CallCounts callCounts() const { return calls_.counts(); }
 
 private:
-  struct AcceptWait {
+  struct PendingAccept {
     uint64_t revision = 0;
     int64_t until_ms = 0;
     ReplyCallback<v1::ApplyReply> reply;
@@ -102,26 +102,26 @@
   /// Gives work to the loop; drops it once the loop is told to stop.
   void post(std::function<void()> work);
   void propose(v1::Command command, ProposalCallback done);
-  void change(v1::Command command, ReplyCallback<v1::ApplyReply> reply);
-  void handOver();
+  void proposeChange(v1::Command command, ReplyCallback<v1::ApplyReply> reply);
+  void handOverLeadership();
   /// @return whether the loop has ended within `limit`.
-  bool loopEndsWithin(std::chrono::milliseconds limit);
+  bool waitForLoopEnd(std::chrono::milliseconds limit);
   void run();
   void runOnce(std::deque<std::function<void()>> work);
   void runTicks();
   void processReady();
   bool writeReady(const raft::RaftReady& ready);
-  void noteWriteTime(int64_t took_ms) const;
-  void noteDiskWorks();
-  void noteDiskRefuses(const Error& error);
+  void logSlowWrite(int64_t took_ms) const;
+  void handleDiskSuccess();
+  void handleDiskFailure(const Error& error);
   bool waitForDisk();
   void applyEntry(const v1::RaftEntry& entry);
   void sendMessages(std::vector<v1::RaftMessage> messages);
   void compactIfDue();
-  void leaderDuties();
-  void noteLeadership();
+  void runLeaderTasks();
+  void updateLeadership();
   void failPending();
-  void checkAcceptWaits();
+  void checkPendingAccepts();
   void handleRenew(const v1::RenewRequest& request, const ReplyCallback<v1::RenewReply>& reply);
   void awaitAccept(const ProposalOutcome& outcome, const ReplyCallback<v1::ApplyReply>& reply);
   void formGroup();
@@ -129,8 +129,8 @@
   std::string leaderAddress() const;
   std::string addressOf(uint64_t member) const;
   template <typename Reply> Reply notLeader() const;
-  void readThen(std::function<void(bool confirmed)> done);
-  v1::ReplaceReplicaReply stepReplacement(const v1::ReplaceReplicaRequest& request);
+  void confirmRead(std::function<void(bool confirmed)> done);
+  v1::ReplaceReplicaReply advanceReplacement(const v1::ReplaceReplicaRequest& request);
 
   const ReplicaOptions options_;
   LogStore& store_;
@@ -157,14 +157,14 @@
   std::unique_ptr<raft::RaftNode> node_;
   control::ReplicatedState state_;
   /// Set while this replica leads.
-  std::optional<control::LeaderDuties> duties_;
+  std::optional<control::RouterManager> router_manager_;
   int64_t next_tick_ms_ = 0;
   uint64_t applied_ = 0;
   uint64_t leader_term_ = 0;
   uint64_t next_context_ = 1;
   std::map<uint64_t, ProposalCallback> proposals_;
   std::map<uint64_t, std::function<void(bool)>> reads_;
-  std::vector<AcceptWait> accept_waits_;
+  std::vector<PendingAccept> pending_accepts_;
   std::map<std::string, uint64_t> hello_ids_;
   /// Written by the loop, read by others.
   std::atomic<bool> ungrouped_{true};
--- a/src/daemon/control/control_role.cc
+++ b/src/daemon/control/control_role.cc
@@ -71,7 +71,7 @@
     for (const std::string& address : settings_.control_addresses()) {
       if (address != settings_.control().rpc_address()) {
         transport_.hello(address, replica_.id(), [this, address](const v1::HelloReply& reply) {
-          replica_.helloAnswered(address, reply);
+          replica_.helloReplyReceived(address, reply);
         });
       }
     }
--- a/src/daemon/control/control_services.cc
+++ b/src/daemon/control/control_services.cc
@@ -17,16 +17,16 @@
 using Context = grpc::CallbackServerContext;
 using Reactor = grpc::ServerUnaryReactor;
 
-constexpr int kMostMessageBytes = 256 * 1024 * 1024;
+constexpr int kMaxMessageBytes = 256 * 1024 * 1024;
 
 /// Refuses calls that carry another key than asked for.
-class KeyGate {
+class CallAuthenticator {
 public:
-  KeyGate(std::string key, std::atomic<uint64_t>& refused)
+  CallAuthenticator(std::string key, std::atomic<uint64_t>& refused)
       : key_(std::move(key)), refused_(refused) {}
 
   /// @return a finished reactor when the call is refused, else null.
-  Reactor* refuse(Context* context) const {
+  Reactor* rejectUnauthenticated(Context* context) const {
     if (rpc::hasKey(*context, key_)) {
       return nullptr;
     }
@@ -73,11 +73,12 @@
 
 class ControlImpl : public v1::Control::CallbackService {
 public:
-  ControlImpl(ControlReplica& replica, KeyGate gate) : replica_(replica), gate_(std::move(gate)) {}
+  ControlImpl(ControlReplica& replica, CallAuthenticator authenticator)
+      : replica_(replica), authenticator_(std::move(authenticator)) {}
 
   Reactor* Renew(Context* context, const v1::RenewRequest* request,
                  v1::RenewReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -87,7 +88,7 @@
 
   Reactor* Depart(Context* context, const v1::DepartRequest* request,
                   v1::DepartReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -118,33 +119,34 @@
 
 private:
   Reactor* proposeLedger(Context* context, v1::Command command, v1::LedgerReply* reply) {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
     const CallCallback<v1::LedgerReply> finish = finishWith(reactor, reply);
-    replica_.changeLedger(std::move(command),
-                          [finish](const CallOutcome<ProposalOutcome>& outcome) {
-                            if (const auto* answered = std::get_if<ProposalOutcome>(&outcome)) {
-                              finish(ledgerReply(*answered));
-                            } else {
-                              finish(Unavailable{});
-                            }
-                          });
+    replica_.proposeLedgerChange(
+        std::move(command), [finish](const CallOutcome<ProposalOutcome>& outcome) {
+          if (const auto* answered = std::get_if<ProposalOutcome>(&outcome)) {
+            finish(ledgerReply(*answered));
+          } else {
+            finish(Unavailable{});
+          }
+        });
     return reactor;
   }
 
   ControlReplica& replica_;
-  const KeyGate gate_;
+  const CallAuthenticator authenticator_;
 };
 
 class OperatorImpl : public v1::Operator::CallbackService {
 public:
-  OperatorImpl(ControlReplica& replica, KeyGate gate) : replica_(replica), gate_(std::move(gate)) {}
+  OperatorImpl(ControlReplica& replica, CallAuthenticator authenticator)
+      : replica_(replica), authenticator_(std::move(authenticator)) {}
 
   Reactor* Apply(Context* context, const v1::ApplyRequest* request,
                  v1::ApplyReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -153,7 +155,7 @@
   }
 
   Reactor* Get(Context* context, const v1::GetRequest* /*request*/, v1::GetReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -163,7 +165,7 @@
 
   Reactor* Status(Context* context, const v1::StatusRequest* /*request*/,
                   v1::StatusReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -173,7 +175,7 @@
 
   Reactor* DrainRunner(Context* context, const v1::DrainRunnerRequest* request,
                        v1::ApplyReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -183,7 +185,7 @@
 
   Reactor* ReplaceReplica(Context* context, const v1::ReplaceReplicaRequest* request,
                           v1::ReplaceReplicaReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -193,16 +195,17 @@
 
 private:
   ControlReplica& replica_;
-  const KeyGate gate_;
+  const CallAuthenticator authenticator_;
 };
 
 class PeerImpl : public v1::ControlPeer::CallbackService {
 public:
-  PeerImpl(ControlReplica& replica, KeyGate gate) : replica_(replica), gate_(std::move(gate)) {}
+  PeerImpl(ControlReplica& replica, CallAuthenticator authenticator)
+      : replica_(replica), authenticator_(std::move(authenticator)) {}
 
   Reactor* Deliver(Context* context, const v1::RaftBatch* request,
                    v1::DeliverReply* /*reply*/) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     replica_.deliver(*request);
@@ -213,7 +216,7 @@
 
   Reactor* Hello(Context* context, const v1::HelloRequest* request,
                  v1::HelloReply* reply) override {
-    if (Reactor* refused = gate_.refuse(context)) {
+    if (Reactor* refused = authenticator_.rejectUnauthenticated(context)) {
       return refused;
     }
     Reactor* reactor = context->DefaultReactor();
@@ -223,7 +226,7 @@
 
 private:
   ControlReplica& replica_;
-  const KeyGate gate_;
+  const CallAuthenticator authenticator_;
 };
 
 } // namespace
@@ -231,9 +234,9 @@
 class ControlServices::Impl {
 public:
   Impl(ControlReplica& replica, const ServiceKeys& keys)
-      : control(replica, KeyGate(keys.control_key, refused)),
-        operators(replica, KeyGate(keys.operator_token, refused)),
-        peers(replica, KeyGate(keys.control_key, refused)) {}
+      : control(replica, CallAuthenticator(keys.control_key, refused)),
+        operators(replica, CallAuthenticator(keys.operator_token, refused)),
+        peers(replica, CallAuthenticator(keys.control_key, refused)) {}
 
   std::atomic<uint64_t> refused{0};
   ControlImpl control;
@@ -261,7 +264,7 @@
   int port = 0;
   builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &port);
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-  builder.SetMaxReceiveMessageSize(kMostMessageBytes);
+  builder.SetMaxReceiveMessageSize(kMaxMessageBytes);
   builder.RegisterService(&impl_->control);
   builder.RegisterService(&impl_->operators);
   builder.RegisterService(&impl_->peers);
--- a/src/daemon/group/group_membership.cc
+++ b/src/daemon/group/group_membership.cc
@@ -13,7 +13,7 @@
 constexpr int64_t kSeekPeriodMs = 300;
 constexpr int64_t kMembershipPeriodMs = 200;
 /// A replica that hears no leader for so long asks whether it is still a member.
-constexpr int64_t kLonelyMs = 2500;
+constexpr int64_t kLeaderlessLimitMs = 2500;
 /// A learner this close to the commit index has caught up.
 constexpr uint64_t kCaughtUpEntries = 4;
 /// Index and term of the snapshot that every replica of a new group starts from.
@@ -26,11 +26,11 @@
   return std::find(options_.seeds.begin(), options_.seeds.end(), address) != options_.seeds.end();
 }
 
-void GroupReplica::seekGroup() {
+void GroupReplica::findGroup() {
   const int64_t now = clock_.monotonicMs();
   const bool ungrouped = node_->membership().members_size() == 0;
-  const bool lonely = now - leader_heard_ms_ > kLonelyMs;
-  if (now < seek_due_ms_ || (votes() && !lonely)) {
+  const bool leaderless = now - leader_last_known_ms_ > kLeaderlessLimitMs;
+  if (now < seek_due_ms_ || (votes() && !leaderless)) {
     return;
   }
   seek_due_ms_ = now + kSeekPeriodMs;
@@ -123,13 +123,13 @@
   makeNode(std::move(recovery));
   applied_ = kFirstIndex;
   group_exists_ = true;
-  leader_heard_ms_ = clock_.monotonicMs();
+  leader_last_known_ms_ = clock_.monotonicMs();
   line_log::write("group_formed", {{"id", id_}, {"members", options_.seeds}});
 }
 
 void GroupReplica::joinReceived(const v1::JoinRequest& request) {
   if (node_->isLeader() && !unwritten_) {
-    joins_[request.address()] = request;
+    join_requests_[request.address()] = request;
   }
 }
 
@@ -140,27 +140,28 @@
                     [](const v1::RaftMember& member) { return !member.learner(); }));
 }
 
-void GroupReplica::stepMembership() {
+void GroupReplica::advanceMembership() {
   const int64_t now = clock_.monotonicMs();
   if (!node_->isLeader()) {
-    joins_.clear();
+    join_requests_.clear();
     return;
   }
-  if (now < membership_due_ms_ || joins_.empty() || !leads() || !node_->membershipCommitted()) {
+  if (now < membership_due_ms_ || join_requests_.empty() || !leads() ||
+      !node_->membershipCommitted()) {
     return;
   }
   membership_due_ms_ = now + kMembershipPeriodMs;
-  for (const auto& [address, join] : joins_) {
-    if (stepJoin(join)) {
+  for (const auto& [address, join] : join_requests_) {
+    if (advanceJoin(join)) {
       scheduleProcess();
       return;
     }
   }
-  joins_.clear();
+  join_requests_.clear();
 }
 
 /// One step for a replica that asks to join. @return whether the membership is being changed.
-bool GroupReplica::stepJoin(const v1::JoinRequest& join) {
+bool GroupReplica::advanceJoin(const v1::JoinRequest& join) {
   v1::RaftMembership membership = node_->membership();
   auto* members = membership.mutable_members();
   const auto own =
@@ -209,7 +210,7 @@
     const auto silent_ms =
         static_cast<int64_t>(node_->ticksSinceReply(member->id())) * options_.tick_ms;
     const bool candidate =
-        !member->learner() && member->id() != id_ && silent_ms >= options_.gone_ms;
+        !member->learner() && member->id() != id_ && silent_ms >= options_.silent_voter_limit_ms;
     if (candidate && (gone == members->end() ||
                       node_->ticksSinceReply(member->id()) > node_->ticksSinceReply(gone->id()))) {
       gone = member;
--- a/src/daemon/group/group_replica.cc
+++ b/src/daemon/group/group_replica.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// Ticks made up for at most, after the process was stopped for a while.
-constexpr int64_t kMostTicksBehind = 100;
+constexpr int64_t kMaxCatchUpTicks = 100;
 
 } // namespace
 
@@ -38,7 +38,7 @@
   group_exists_ = !replica.recovery.log.latestMembership().members().empty();
   makeNode(std::move(replica.recovery));
   next_tick_ms_ = clock_.monotonicMs() + options_.tick_ms;
-  leader_heard_ms_ = clock_.monotonicMs();
+  leader_last_known_ms_ = clock_.monotonicMs();
   line_log::write("replica_started", {{"id", id_},
                                       {"grouped", group_exists_},
                                       {"version", state_.configuration().version()},
@@ -52,7 +52,7 @@
   raft_options.election_ticks = options_.election_ticks;
   raft_options.first_election_ticks = options_.first_election_ticks;
   // Leases of relays are confirmed by reads, not by the leader's lease.
-  raft_options.hold_votes_after_restart = false;
+  raft_options.withhold_votes_after_restart = false;
   raft_options.trailing_entries = options_.trailing_entries;
   node_ = std::make_unique<raft::RaftNode>(id_, raft_options, random_, std::move(recovery));
 }
@@ -68,10 +68,10 @@
   });
 }
 
-void GroupReplica::makeUpTicks() {
+void GroupReplica::catchUpTicks() {
   const int64_t now = clock_.monotonicMs();
-  if ((now - next_tick_ms_) / options_.tick_ms > kMostTicksBehind) {
-    next_tick_ms_ = now - kMostTicksBehind * options_.tick_ms;
+  if ((now - next_tick_ms_) / options_.tick_ms > kMaxCatchUpTicks) {
+    next_tick_ms_ = now - kMaxCatchUpTicks * options_.tick_ms;
   }
   while (next_tick_ms_ <= now) {
     next_tick_ms_ += options_.tick_ms;
@@ -95,7 +95,7 @@
   if (unwritten_ && !writeReady()) {
     return;
   }
-  makeUpTicks();
+  catchUpTicks();
   while (true) {
     unwritten_ = node_->takeReady();
     const bool nothing = !unwritten_->needsSync() && unwritten_->messages.empty() &&
@@ -108,10 +108,10 @@
       return;
     }
   }
-  noteLeadership();
+  updateLeadership();
   compactIfDue();
-  seekGroup();
-  stepMembership();
+  findGroup();
+  advanceMembership();
 }
 
 /// Makes `unwritten_` durable and does what it asks for. Nothing may be sent or applied before.
@@ -199,9 +199,10 @@
     }
     return;
   }
-  line_log::write("evacuations_committed", {{"version", state_.evacuations().version()},
-                                            {"zones", relay::zoneNames(state_.evacuations())},
-                                            {"term", node_->term()}});
+  line_log::write("evacuations_committed",
+                  {{"version", state_.evacuations().version()},
+                   {"zones", relay::evacuatedZoneNames(state_.evacuations())},
+                   {"term", node_->term()}});
 }
 
 /// Answers the command that was proposed for the place of an applied entry. A configuration that
@@ -231,7 +232,7 @@
 }
 
 void GroupReplica::store(v1::StoredConfiguration configuration, StoreCallback done) {
-  ReplyCallback<StoreOutcome> reply = calls_.take(std::move(done));
+  ReplyCallback<StoreOutcome> reply = calls_.accept(std::move(done));
   if (unwritten_ || !leads()) {
     reply(StoreOutcome::NotLeader);
     return;
@@ -246,7 +247,7 @@
 }
 
 void GroupReplica::order(const v1::GroupCommand& command, StoreCallback done) {
-  ReplyCallback<StoreOutcome> reply = calls_.take(std::move(done));
+  ReplyCallback<StoreOutcome> reply = calls_.accept(std::move(done));
   if (unwritten_ || !leads()) {
     reply(StoreOutcome::NotLeader);
     return;
@@ -255,7 +256,7 @@
 }
 
 void GroupReplica::read(ReadCallback done) {
-  ReplyCallback<const v1::StoredConfiguration*> reply = calls_.take(std::move(done));
+  ReplyCallback<const v1::StoredConfiguration*> reply = calls_.accept(std::move(done));
   if (!isLeader()) {
     reply(nullptr);
     return;
@@ -271,7 +272,7 @@
     return false;
   }
   // Time first: after a freeze, an old leader must not answer before it knows how late it is.
-  makeUpTicks();
+  catchUpTicks();
   return node_->committedInTerm() && node_->hasLeaderLease();
 }
 
@@ -280,12 +281,12 @@
 }
 
 int64_t GroupReplica::leaderlessForMs() const {
-  return knowsLeader() ? 0 : clock_.monotonicMs() - leader_heard_ms_;
+  return knowsLeader() ? 0 : clock_.monotonicMs() - leader_last_known_ms_;
 }
 
-void GroupReplica::noteLeadership() {
+void GroupReplica::updateLeadership() {
   if (node_->leader() != 0) {
-    leader_heard_ms_ = clock_.monotonicMs();
+    leader_last_known_ms_ = clock_.monotonicMs();
   }
   const bool leader = node_->isLeader();
   const bool new_term = leader && leader_term_ != node_->term();
@@ -301,13 +302,13 @@
   }
   was_leader_ = leader;
   leader_term_ = leader ? node_->term() : 0;
-  tellLeader();
+  reportLeader();
 }
 
-void GroupReplica::tellLeader() {
+void GroupReplica::reportLeader() {
   const bool usable = !node_->isLeader() || node_->committedInTerm();
   const uint64_t leader = usable ? node_->leader() : 0;
-  const bool news = std::exchange(told_leader_, leader) != leader && leader != 0;
+  const bool news = std::exchange(reported_leader_, leader) != leader && leader != 0;
   if (news && on_leader_known_) {
     on_leader_known_();
   }
@@ -336,7 +337,7 @@
   }
 }
 
-void GroupReplica::handOver() {
+void GroupReplica::handOverLeadership() {
   node_->transferLeadership();
   process();
 }
@@ -346,14 +347,14 @@
   const CallCounts counts = calls_.counts();
   line_log::write(
       "calls_ended",
-      {{"taken", counts.taken}, {"answered", counts.answered}, {"refused", counts.refused}});
+      {{"taken", counts.accepted}, {"answered", counts.answered}, {"refused", counts.refused}});
 }
 
 void GroupReplica::deliver(const v1::RaftBatch& batch) {
   if (unwritten_) {
     return;
   }
-  makeUpTicks();
+  catchUpTicks();
   for (const v1::RaftMessage& message : batch.messages()) {
     sender_addresses_[message.from()] = batch.sender_address();
     node_->step(message);
--- a/src/daemon/group/group_replica.h
+++ b/src/daemon/group/group_replica.h
@@ -40,7 +40,7 @@
   /// that two replicas seldom stand for election at the same time.
   uint32_t first_election_ticks = 4;
   /// A voter that is silent for so long may be replaced by a replica at a new address.
-  int64_t gone_ms = 3000;
+  int64_t silent_voter_limit_ms = 3000;
   /// The log is compacted after so many entries, or so many bytes of commands.
   uint64_t snapshot_entries = 48;
   uint64_t snapshot_bytes = uint64_t{512} * 1024;
@@ -71,8 +71,8 @@
   GroupReplica& operator=(const GroupReplica&) = delete;
 
   /// Set before `start`.
-  void onHelloWanted(HelloSender sender) { send_hello_ = std::move(sender); }
-  void onJoinWanted(JoinSender sender) { send_join_ = std::move(sender); }
+  void setHelloSender(HelloSender sender) { send_hello_ = std::move(sender); }
+  void setJoinSender(JoinSender sender) { send_join_ = std::move(sender); }
   /// Runs after each change of the replicated state.
   void onChange(std::function<void()> handler) { on_change_ = std::move(handler); }
   /// Runs when this replica learns who leads, itself included once it can confirm reads.
@@ -81,7 +81,7 @@
   /// Reads what is stored and begins to tick.
   Result<std::monostate> start();
   /// Hands leadership over if this replica leads.
-  void handOver();
+  void handOverLeadership();
   /// Refuses the calls that wait and all that come from now on.
   void end();
 
@@ -113,12 +113,12 @@
   const v1::QuarantineList& quarantine() const { return state_.quarantine(); }
   const v1::RolloutList& rollouts() const { return state_.rollouts(); }
   /// @return the last rollout of the service; null: it never had one.
-  const v1::Rollout* rolloutOf(const std::string& service) const {
-    return relay::rolloutOf(state_.rollouts(), service);
+  const v1::Rollout* findRollout(const std::string& service) const {
+    return relay::findRollout(state_.rollouts(), service);
   }
   uint64_t id() const { return id_; }
   /// @return whether this replica counts for majorities, as far as it knows.
-  bool votes() const { return raft::votesIn(node_->membership(), id_); }
+  bool votes() const { return raft::isVoterOf(node_->membership(), id_); }
   uint64_t term() const { return node_->term(); }
   size_t voterCount() const;
   const GroupStats& stats() const { return stats_; }
@@ -138,7 +138,7 @@
   };
 
   void scheduleTick();
-  void makeUpTicks();
+  void catchUpTicks();
   /// Processes soon, once for all that comes until then.
   void scheduleProcess();
   void process();
@@ -150,15 +150,15 @@
   void answerProposal(const v1::RaftEntry& applied);
   void failPending();
   void compactIfDue();
-  void noteLeadership();
-  void tellLeader();
-  void seekGroup();
+  void updateLeadership();
+  void reportLeader();
+  void findGroup();
   void sendHellos();
   void sendJoins();
   void formGroup();
   void makeNode(raft::RaftRecovery recovery);
-  void stepMembership();
-  bool stepJoin(const v1::JoinRequest& join);
+  void advanceMembership();
+  bool advanceJoin(const v1::JoinRequest& join);
   bool replaceSilentVoter(v1::RaftMembership membership);
   std::string addressOf(uint64_t member) const;
   bool isSeed(const std::string& address) const;
@@ -187,10 +187,10 @@
   uint64_t bytes_since_snapshot_ = 0;
   bool was_leader_ = false;
   /// The leader that `on_leader_known_` was last told of; zero: none.
-  uint64_t told_leader_ = 0;
+  uint64_t reported_leader_ = 0;
   uint64_t leader_term_ = 0;
   int64_t leading_since_ms_ = 0;
-  int64_t leader_heard_ms_ = 0;
+  int64_t leader_last_known_ms_ = 0;
   int64_t seek_due_ms_ = 0;
   int64_t membership_due_ms_ = 0;
   uint64_t next_context_ = 1;
@@ -201,7 +201,7 @@
   std::map<std::string, uint64_t> founders_;
   bool group_exists_ = false;
   /// Replicas that ask to join, by address.
-  std::map<std::string, v1::JoinRequest> joins_;
+  std::map<std::string, v1::JoinRequest> join_requests_;
   /// Where messages of replicas came from that are not members here (yet).
   std::map<uint64_t, std::string> sender_addresses_;
   /// Ends with the replica; work that was posted before is dropped then.
--- a/src/daemon/group/group_role.cc
+++ b/src/daemon/group/group_role.cc
@@ -24,12 +24,12 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 /// How soon a new leader begins to read.
-constexpr std::chrono::milliseconds kListStep{80};
+constexpr std::chrono::milliseconds kListPollPeriod{80};
 /// Time for the last messages of a replica that hands over.
-constexpr std::chrono::milliseconds kHandOverTime{600};
+constexpr std::chrono::milliseconds kHandOverDelay{600};
 /// Time for the answers to operators that are under way when the replica ends; an answer without a
 /// body takes a round trip, a whole configuration of 1 MB some 100 ms at 100 Mbit/s.
-constexpr std::chrono::milliseconds kAnswerTime{200};
+constexpr std::chrono::milliseconds kAnswerTimeout{200};
 constexpr std::chrono::milliseconds kAnswerPoll{5};
 constexpr uint64_t kMsPerSecond = 1000;
 
@@ -51,12 +51,12 @@
       random_(SeededRandom::fromEntropy()), store_(settings_.data_folder, random_),
       links_(context_, clock, link_address_),
       replica_(context_, groupOptions(settings_, link_address_), store_, clock, random_, links_),
-      hub_(context_, replica_, clock, settings_.link_mbps),
+      lease_service_(context_, replica_, clock, settings_.link_mbps),
       operator_api_(
           context_, replica_, clock, adapters.configurations, adapters.dialect,
           settings_.operator_address.substr(settings_.operator_address.rfind(':') + 1),
           [this](const std::string& zone) { return zoneExists(zone); },
-          [this]() -> const v1::RunnerList& { return hub_.runners(); }),
+          [this]() -> const v1::RunnerList& { return lease_service_.runners(); }),
       reader_(context_, clock_, settings_.runner_list_address, adapters.runner_lists),
       listener_(context_),
       operator_server_(
@@ -65,22 +65,22 @@
           refuseBadRequest),
       metrics_server_(
           workers, smallLimits(),
-          [this](http::Exchange& exchange) { return tellMetrics(exchange); }, refuseBadRequest),
+          [this](http::Exchange& exchange) { return serveMetrics(exchange); }, refuseBadRequest),
       log_flusher_(context_), stop_timer_(context_) {}
 
 Result<std::monostate> GroupRole::start() {
-  replica_.onHelloWanted([this](const std::string& address, v1::ReplicaHello hello) {
+  replica_.setHelloSender([this](const std::string& address, v1::ReplicaHello hello) {
     v1::Frame frame;
     *frame.mutable_hello() = std::move(hello);
     links_.sendFrame(address, frame);
   });
-  replica_.onJoinWanted([this](const std::string& address, v1::JoinRequest request) {
+  replica_.setJoinSender([this](const std::string& address, v1::JoinRequest request) {
     v1::Frame frame;
     *frame.mutable_join() = std::move(request);
     links_.sendFrame(address, frame);
   });
-  replica_.onChange([this] { hub_.stateChanged(); });
-  replica_.onLeaderKnown([this] { hub_.leaderKnown(); });
+  replica_.onChange([this] { lease_service_.stateChanged(); });
+  replica_.onLeaderKnown([this] { lease_service_.leaderKnown(); });
   if (auto started = replica_.start(); isError(started)) {
     return started;
   }
@@ -105,7 +105,7 @@
 
 /// A zone may have runners only, so that no machine of the system names it in its settings.
 bool GroupRole::zoneExists(const std::string& zone) const {
-  const auto& runners = hub_.runners().runners();
+  const auto& runners = lease_service_.runners().runners();
   return settings_.zones.empty() || settings_.zones.contains(zone) ||
          std::any_of(runners.begin(), runners.end(),
                      [&](const v1::RunnerEntry& runner) { return runner.zone() == zone; });
@@ -128,7 +128,7 @@
           frameReceived(from, frame);
         }
       },
-      [this, sender] { hub_.linkClosed(sender->relay, sender->incarnation); });
+      [this, sender] { lease_service_.linkClosed(sender->relay, sender->incarnation); });
 }
 
 void GroupRole::frameReceived(const std::shared_ptr<link::FramedLink>& link,
@@ -144,7 +144,7 @@
     replica_.joinReceived(frame.join());
     break;
   case v1::Frame::kRenewal:
-    hub_.renewed(link, frame.renewal());
+    lease_service_.handleRenewal(link, frame.renewal());
     break;
   default:
     break;
@@ -157,16 +157,17 @@
   int64_t read_at_ms = 0;
   while (true) {
     const bool leads = replica_.leads();
-    const bool wanted = relay::readsList(leads, replica_.leaderlessForMs());
+    const bool wanted = relay::shouldReadList(leads, replica_.leaderlessForMs());
     const int64_t now = clock_.monotonicMs();
     const auto readers =
         leads ? 1 : std::max<int64_t>(1, static_cast<int64_t>(replica_.voterCount()));
-    const int64_t wanted_ms = relay::wantedListPeriodMs(settings_.bounds.leaving_runner_ms);
+    const int64_t desired_period_ms =
+        relay::desiredListPeriodMs(settings_.bounds.leaving_runner_ms);
     // Replicas without a leader cost the platform no more than a leader does.
-    const int64_t period_ms =
-        relay::listPeriodMs(relay::ListReading{.pages = reader_.pages(),
-                                               .calls_per_s = settings_.runner_list_calls,
-                                               .wanted_ms = wanted_ms * readers});
+    const int64_t period_ms = relay::listPeriodMs(
+        relay::ListPollOptions{.pages = reader_.pages(),
+                               .calls_per_s = settings_.runner_list_calls,
+                               .desired_period_ms = desired_period_ms * readers});
     const bool due = now - read_at_ms >= period_ms || (leads && read_in_term != replica_.term());
     if (wanted && due) {
       read_at_ms = now;
@@ -176,15 +177,15 @@
         line_log::write("runner_list_unread", {{"error", errorOf(list).message}});
       } else {
         list_read_at_ms_ = clock_.monotonicMs();
-        hub_.runnersRead(std::move(std::get<v1::RunnerList>(list)));
+        lease_service_.updateRunnerList(std::move(std::get<v1::RunnerList>(list)));
       }
     }
-    timer.expires_after(kListStep);
+    timer.expires_after(kListPollPeriod);
     co_await timer.async_wait(kAwait);
   }
 }
 
-http::awaitable<void> GroupRole::tellMetrics(http::Exchange& exchange) {
+http::awaitable<void> GroupRole::serveMetrics(http::Exchange& exchange) {
   std::string text;
   replica_.stats().expose(text);
   metrics::exposeGauge(text, "group_term", "term of the replicated log",
@@ -225,9 +226,9 @@
   metrics::exposeGauges(text, "group_rollouts", "the last rollouts of services, by phase", "phase",
                         rollouts);
   metrics::exposeGauge(text, "group_relays", "relays that renew with this replica",
-                       static_cast<int64_t>(hub_.relayCount()));
+                       static_cast<int64_t>(lease_service_.relayCount()));
   metrics::exposeGauge(text, "group_runners", "runners in the list that it tells",
-                       static_cast<int64_t>(hub_.runners().runners_size()));
+                       static_cast<int64_t>(lease_service_.runners().runners_size()));
   http::Response response =
       http::makeResponse(http::Status::ok, metrics::kContentType, std::move(text));
   co_await exchange.respond(std::move(response));
@@ -239,16 +240,16 @@
 
 void GroupRole::stop(std::function<void()> stopped) {
   operator_server_.stopAccepting();
-  replica_.handOver();
+  replica_.handOverLeadership();
   asio::co_spawn(context_, finish(std::move(stopped)), asio::detached);
 }
 
 http::awaitable<void> GroupRole::finish(std::function<void()> stopped) {
-  stop_timer_.expires_after(kHandOverTime);
+  stop_timer_.expires_after(kHandOverDelay);
   co_await stop_timer_.async_wait(kAwait);
   // An operator whose call is refused turns to another replica at once.
   replica_.end();
-  const int64_t until_ms = clock_.monotonicMs() + kAnswerTime.count();
+  const int64_t until_ms = clock_.monotonicMs() + kAnswerTimeout.count();
   while (operator_server_.requestsInProgress() > 0 && clock_.monotonicMs() < until_ms) {
     stop_timer_.expires_after(kAnswerPoll);
     co_await stop_timer_.async_wait(kAwait);
--- a/src/daemon/group/group_role.h
+++ b/src/daemon/group/group_role.h
@@ -16,8 +16,8 @@
 #include "adapters/settings/relay_settings.h"
 #include "adapters/worker_pool.h"
 #include "daemon/group/group_replica.h"
+#include "daemon/group/lease_service.h"
 #include "daemon/group/operator_api.h"
-#include "daemon/group/relay_hub.h"
 #include "daemon/relay_adapters.h"
 #include "daemon/role.h"
 #include "daemon/runner_list_reader.h"
@@ -42,7 +42,7 @@
   bool zoneExists(const std::string& zone) const;
   http::awaitable<void> finish(std::function<void()> stopped);
   http::awaitable<void> readRunnerLists();
-  http::awaitable<void> tellMetrics(http::Exchange& exchange);
+  http::awaitable<void> serveMetrics(http::Exchange& exchange);
 
   const settings::RelaySettings settings_;
   const Clock& clock_;
@@ -53,7 +53,7 @@
   disk::FileLogStore store_;
   link::LinkPool links_;
   GroupReplica replica_;
-  RelayHub hub_;
+  LeaseService lease_service_;
   OperatorApi operator_api_;
   RunnerListReader reader_;
   /// When a list was last read whole; negative: never.
--- a/src/daemon/group/leader_calls.cc
+++ b/src/daemon/group/leader_calls.cc
@@ -47,13 +47,13 @@
   std::optional<Value> value_;
 };
 
-http::Response replicaEnds() {
-  return refuseCall(http::Status::service_unavailable, "replica_ends", "this replica ends");
+http::Response replicaStoppingResponse() {
+  return makeRefusal(http::Status::service_unavailable, "replica_ends", "this replica ends");
 }
 
 } // namespace
 
-http::Response refuseCall(http::Status status, std::string code, std::string detail) {
+http::Response makeRefusal(http::Status status, std::string code, std::string detail) {
   const bool again = status == http::Status::service_unavailable;
   return http::makeProblem(http::Problem{.status = status,
                                          .code = std::move(code),
@@ -66,25 +66,27 @@
   return store != nullptr && *store == StoreOutcome::Stored;
 }
 
-http::Response notConfirmed() {
-  return refuseCall(http::Status::service_unavailable, "not_confirmed", "no majority confirmed it");
+http::Response notConfirmedResponse() {
+  return makeRefusal(http::Status::service_unavailable, "not_confirmed",
+                     "no majority confirmed it");
 }
 
-http::Response answerTo(const CallOutcome<StoreOutcome>& outcome) {
+http::Response responseTo(const CallOutcome<StoreOutcome>& outcome) {
   if (isStored(outcome)) {
     return http::makeResponse(http::Status::ok, "application/json", "{}");
   }
-  return std::holds_alternative<Unavailable>(outcome) ? replicaEnds() : notConfirmed();
+  return std::holds_alternative<Unavailable>(outcome) ? replicaStoppingResponse()
+                                                      : notConfirmedResponse();
 }
 
-http::Response LeaderCalls::elsewhere(const http::Exchange& exchange) const {
+http::Response LeaderCalls::redirectToLeader(const http::Exchange& exchange) const {
   const std::string leader = replica_.leaderAddress();
   const size_t colon = leader.rfind(':');
   if (colon == std::string::npos) {
-    return refuseCall(http::Status::service_unavailable, "no_leader", "no leader is known");
+    return makeRefusal(http::Status::service_unavailable, "no_leader", "no leader is known");
   }
   http::Response response =
-      refuseCall(http::Status::temporary_redirect, "not_leader", "this replica does not lead");
+      makeRefusal(http::Status::temporary_redirect, "not_leader", "this replica does not lead");
   const std::string location =
       "http://" + leader.substr(0, colon) + ":" + port_ + std::string(exchange.target());
   response.set(http::Field::location, location);
@@ -92,7 +94,7 @@
 }
 
 http::awaitable<CallOutcome<StoreOutcome>>
-LeaderCalls::outcomeOf(std::function<void(GroupReplica::StoreCallback)> propose) {
+LeaderCalls::awaitOutcome(std::function<void(GroupReplica::StoreCallback)> propose) {
   using Outcome = CallOutcome<StoreOutcome>;
   const auto waiter = std::make_shared<Waiter<Outcome>>(context_);
   propose([waiter](const Outcome& outcome) { waiter->set(outcome); });
@@ -100,19 +102,19 @@
   co_return outcome.value_or(StoreOutcome::NotLeader);
 }
 
-http::awaitable<http::Response> LeaderCalls::read(const ReadAnswer& answer) {
+http::awaitable<http::Response> LeaderCalls::read(const ReadResponder& answer) {
   using Read = CallOutcome<const v1::StoredConfiguration*>;
   const auto waiter = std::make_shared<Waiter<http::Response>>(context_);
   replica_.read([waiter, answer](const Read& read) {
     const auto* stored = std::get_if<const v1::StoredConfiguration*>(&read);
     if (stored == nullptr) {
-      waiter->set(replicaEnds());
+      waiter->set(replicaStoppingResponse());
     } else {
-      waiter->set(*stored == nullptr ? notConfirmed() : answer(**stored));
+      waiter->set(*stored == nullptr ? notConfirmedResponse() : answer(**stored));
     }
   });
   std::optional<http::Response> response = co_await waiter->wait(kReadLimit);
-  co_return response ? std::move(*response) : notConfirmed();
+  co_return response ? std::move(*response) : notConfirmedResponse();
 }
 
 } // namespace workshatch::daemon
--- a/src/daemon/group/lease_news.h
+++ b/src/daemon/group/lease_updates.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/relay/bulk_pacer.h"
-#include "core/relay/led_runner_list.h"
+#include "core/relay/leader_runner_list.h"
 #include "core/relay/relay_list_history.h"
 #include "core/relay/runner_list_history.h"
 #include "daemon/configuration_transfer.h"
@@ -29,16 +29,16 @@
   uint64_t rollouts = 0;
   std::vector<std::string> members;
   /// When sums of loads may be sent again.
-  int64_t sums_due_ms = 0;
+  int64_t load_totals_due_ms = 0;
 };
 
 /// The parts of the leader's answers, each sent once on a link: what is on its way is not sent
 /// again, since a large configuration would fill the link of a slow relay with copies. Lives on the
 /// replica's event loop; not safe for concurrent use.
-class LeaseNews {
+class LeaseUpdates {
 public:
   /// @param link_mbps bandwidth of the machine's link in Mbit/s
-  LeaseNews(GroupReplica& replica, const Clock& clock, double link_mbps)
+  LeaseUpdates(GroupReplica& replica, const Clock& clock, double link_mbps)
       : replica_(replica), clock_(clock), pacer_(link_mbps) {}
 
   /// Begins a new leadership: versions lie above all earlier ones.
@@ -47,9 +47,9 @@
 
   /// Takes a list of runners read from the platform.
   /// @return whether relays are to be told now.
-  bool takeRunners(v1::RunnerList list);
+  bool updateRunners(v1::RunnerList list);
   /// Keeps a list that was read while nobody led, for a leadership that begins soon.
-  void takeRunnersWithoutLeader(v1::RunnerList list);
+  void updateRunnersWithoutLeader(v1::RunnerList list);
   const v1::RunnerList& runners() const { return runners_.list(); }
   /// @return where the runners of an earlier list stand in the present one; null: not known.
   const std::vector<std::optional<uint32_t>>* positionsFrom(uint64_t list_version) {
@@ -59,7 +59,7 @@
   /// Takes the relays that callers are told.
   void setRelays(v1::RelayList list);
   /// Takes the sums over all relays.
-  void setSums(v1::RunnerLoads sums) { sums_ = std::move(sums); }
+  void setLoadTotals(v1::RunnerLoads sums) { load_totals_ = std::move(sums); }
   void setOverShare(v1::TenantPositions over_share) { over_share_ = std::move(over_share); }
   /// Remembers the stored configuration, to tell relays the difference to it later.
   void rememberConfiguration() { configurations_.add(replica_.stored()); }
@@ -80,22 +80,22 @@
   /// @return whether the link bears large parts now.
   bool linkReady() { return pacer_.ready(clock_.monotonicMs()); }
   /// Counts a reply with large parts towards the link's pace.
-  void noteSent(const v1::Frame& frame);
+  void recordSent(const v1::Frame& frame);
 
 private:
   void addMembers(SentVersions& sent, v1::LeaseReply& reply) const;
-  void addSums(SentVersions& sent, v1::LeaseReply& reply) const;
+  void addLoadTotals(SentVersions& sent, v1::LeaseReply& reply) const;
 
   GroupReplica& replica_;
   const Clock& clock_;
   relay::BulkPacer pacer_;
-  ConfigurationSender configurations_;
+  ConfigurationUpdateBuilder configurations_;
   relay::LeaderVersions versions_;
-  relay::LedRunnerList runners_;
+  relay::LeaderRunnerList runners_;
   relay::RunnerListHistory runner_history_;
   relay::RelayListHistory relay_lists_;
   /// Requests in progress by runner, over all relays.
-  v1::RunnerLoads sums_;
+  v1::RunnerLoads load_totals_;
   v1::TenantPositions over_share_;
 };
 
--- a/src/daemon/group/operator_api.cc
+++ b/src/daemon/group/operator_api.cc
@@ -10,14 +10,14 @@
 
 namespace {
 
-http::Response answerToRead(const v1::StoredConfiguration& stored) {
+http::Response configurationResponse(const v1::StoredConfiguration& stored) {
   if (stored.version() == 0) {
-    return notConfirmed();
+    return notConfirmedResponse();
   }
-  auto document = documentOf(stored);
+  auto document = unpackConfiguration(stored);
   if (isError(document)) {
     line_log::write("configuration_unreadable", {{"error", errorOf(document).message}});
-    return notConfirmed();
+    return notConfirmedResponse();
   }
   return http::makeResponse(http::Status::ok, "application/json",
                             std::move(std::get<std::string>(document)));
@@ -29,8 +29,8 @@
   const http::Verb method = exchange.request().method();
   const bool is_put = exchange.path() == dialect_.paths().put_configuration;
   const bool is_get = exchange.path() == dialect_.paths().get_configuration;
-  const auto evacuation = dialect_.evacuationCall(exchange.path());
-  const auto rollout = dialect_.rolloutCall(exchange.path());
+  const auto evacuation = dialect_.parseEvacuationCall(exchange.path());
+  const auto rollout = dialect_.parseRolloutCall(exchange.path());
   if (is_put && method == http::Verb::post) {
     co_await put(exchange);
   } else if (is_get && method == http::Verb::get) {
@@ -40,12 +40,13 @@
   } else if (rollout && method == (rollout->begin ? http::Verb::post : http::Verb::get)) {
     co_await rollouts_.handle(exchange, *rollout);
   } else if (is_put || is_get || evacuation || rollout) {
-    http::Response refusal = refuseCall(http::Status::method_not_allowed, "method", "wrong method");
+    http::Response refusal =
+        makeRefusal(http::Status::method_not_allowed, "method", "wrong method");
     const bool reads = is_get || (rollout && !rollout->begin);
     refusal.set(http::Field::allow, reads ? "GET" : "POST");
     co_await exchange.respond(std::move(refusal));
   } else {
-    http::Response refusal = refuseCall(http::Status::not_found, "no_call", "no such call");
+    http::Response refusal = makeRefusal(http::Status::not_found, "no_call", "no such call");
     co_await exchange.respond(std::move(refusal));
   }
 }
@@ -57,28 +58,28 @@
   if (isError(decoded)) {
     fault = errorOf(decoded);
   } else {
-    fault = relay::findFault(std::get<relay::Configuration>(decoded));
+    fault = relay::findConfigurationError(std::get<relay::Configuration>(decoded));
   }
   if (fault) {
     line_log::write("configuration_refused", {{"error", fault->message}});
-    http::Response refusal = refuseCall(http::Status::bad_request, "invalid", fault->message);
+    http::Response refusal = makeRefusal(http::Status::bad_request, "invalid", fault->message);
     co_await exchange.respond(std::move(refusal));
     co_return;
   }
   if (!replica_.leads()) {
-    http::Response redirect = calls_.elsewhere(exchange);
+    http::Response redirect = calls_.redirectToLeader(exchange);
     co_await exchange.respond(std::move(redirect));
     co_return;
   }
   const uint64_t version = std::get<relay::Configuration>(decoded).version;
   const CallOutcome<StoreOutcome> outcome =
-      co_await calls_.outcomeOf([&](GroupReplica::StoreCallback done) {
+      co_await calls_.awaitOutcome([&](GroupReplica::StoreCallback done) {
         replica_.store(packConfiguration(version, document), std::move(done));
       });
   line_log::write(
       "configuration_put",
       {{"version", version}, {"stored", isStored(outcome)}, {"held", replica_.stored().version()}});
-  http::Response response = answerTo(outcome);
+  http::Response response = responseTo(outcome);
   co_await exchange.respond(std::move(response));
 }
 
@@ -86,12 +87,12 @@
   if (!zone_exists_(call.zone)) {
     line_log::write("evacuation_refused", {{"zone", call.zone}, {"error", "no such zone"}});
     http::Response refusal =
-        refuseCall(http::Status::not_found, "no_zone", "there is no zone \"" + call.zone + "\"");
+        makeRefusal(http::Status::not_found, "no_zone", "there is no zone \"" + call.zone + "\"");
     co_await exchange.respond(std::move(refusal));
     co_return;
   }
   if (!replica_.leads()) {
-    http::Response redirect = calls_.elsewhere(exchange);
+    http::Response redirect = calls_.redirectToLeader(exchange);
     co_await exchange.respond(std::move(redirect));
     co_return;
   }
@@ -100,23 +101,23 @@
   order.set_zone(call.zone);
   order.set_begin(call.begin);
   order.set_ordered_ms(clock_.wallMs());
-  const CallOutcome<StoreOutcome> outcome = co_await calls_.outcomeOf(
+  const CallOutcome<StoreOutcome> outcome = co_await calls_.awaitOutcome(
       [&](GroupReplica::StoreCallback done) { replica_.order(command, std::move(done)); });
   line_log::write("evacuation_ordered", {{"zone", call.zone},
                                          {"begin", call.begin},
                                          {"stored", isStored(outcome)},
                                          {"version", replica_.evacuations().version()}});
-  http::Response response = answerTo(outcome);
+  http::Response response = responseTo(outcome);
   co_await exchange.respond(std::move(response));
 }
 
 http::awaitable<void> OperatorApi::get(http::Exchange& exchange) {
   if (!replica_.leads()) {
-    http::Response redirect = calls_.elsewhere(exchange);
+    http::Response redirect = calls_.redirectToLeader(exchange);
     co_await exchange.respond(std::move(redirect));
     co_return;
   }
-  const LeaderCalls::ReadAnswer answer = answerToRead;
+  const LeaderCalls::ReadResponder answer = configurationResponse;
   http::Response response = co_await calls_.read(answer);
   co_await exchange.respond(std::move(response));
 }
--- a/src/daemon/group/rollout_api.h
+++ b/src/daemon/group/rollout_api.h
@@ -31,12 +31,12 @@
 
 private:
   http::awaitable<void> begin(http::Exchange& exchange);
-  http::awaitable<void> tell(http::Exchange& exchange, std::string service);
+  http::awaitable<void> sendRolloutStatus(http::Exchange& exchange, std::string service);
   http::awaitable<http::Response> order(v1::Rollout rollout);
   /// @return the answer to a wish that needs no order, or can't be ordered.
-  std::optional<http::Response> answerWithoutOrder(const RolloutWish& wish,
-                                                   const std::vector<std::string>& versions) const;
-  http::Response answerToRead(const std::string& service) const;
+  std::optional<http::Response>
+  responseWithoutOrder(const RolloutRequest& wish, const std::vector<std::string>& versions) const;
+  http::Response rolloutResponse(const std::string& service) const;
   std::vector<std::string> versionsOf(const std::string& service) const;
 
   GroupReplica& replica_;
--- a/src/daemon/open_calls.cc
+++ b/src/daemon/open_calls.cc
@@ -4,8 +4,8 @@
 
 std::optional<uint64_t> OpenCalls::State::open(Refusal refusal) {
   const std::lock_guard lock(mutex_);
-  ++counts_.taken;
-  if (phase_ != Phase::Taking) {
+  ++counts_.accepted;
+  if (phase_ != Phase::Accepting) {
     ++counts_.refused;
     return std::nullopt;
   }
@@ -41,9 +41,9 @@
   }
 }
 
-void OpenCalls::State::takeAgain() {
+void OpenCalls::State::resumeAccepting() {
   const std::lock_guard lock(mutex_);
-  phase_ = phase_ == Phase::Ended ? Phase::Ended : Phase::Taking;
+  phase_ = phase_ == Phase::Ended ? Phase::Ended : Phase::Accepting;
 }
 
 CallCounts OpenCalls::State::counts() const {
--- a/src/daemon/open_calls.h
+++ b/src/daemon/open_calls.h
@@ -22,9 +22,10 @@
 template <typename Reply> using CallCallback = std::function<void(CallOutcome<Reply>)>;
 template <typename Reply> using ReplyCallback = std::function<void(Reply)>;
 
-/// Calls since the start of the process; `taken` is the sum of the others and of those still open.
+/// Calls since the start of the process; `accepted` is the sum of the others and of those still
+/// open.
 struct CallCounts {
-  uint64_t taken = 0;
+  uint64_t accepted = 0;
   uint64_t answered = 0;
   /// Taken in and ended with Unavailable.
   uint64_t refused = 0;
@@ -40,7 +41,7 @@
   /// Takes a call in; after `refuseAll` or `end`, refuses it at once on the calling thread.
   /// @return the way to answer. The first answer counts; one after the refusal does nothing. May
   /// outlive this object.
-  template <typename Reply> ReplyCallback<Reply> take(CallCallback<Reply> done) {
+  template <typename Reply> ReplyCallback<Reply> accept(CallCallback<Reply> done) {
     const auto shared = std::make_shared<CallCallback<Reply>>(std::move(done));
     const std::optional<uint64_t> id = state_->open([shared] { (*shared)(Unavailable{}); });
     if (!id) {
@@ -54,10 +55,10 @@
     };
   }
 
-  /// Refuses all calls that are open and all that come, until `takeAgain`.
+  /// Refuses all calls that are open and all that come, until `resumeAccepting`.
   void refuseAll() { state_->refuseAll(Phase::Refusing); }
   /// Does nothing after `end`.
-  void takeAgain() { state_->takeAgain(); }
+  void resumeAccepting() { state_->resumeAccepting(); }
   /// Refuses all calls that are open and all that come, for good.
   void end() { state_->refuseAll(Phase::Ended); }
 
@@ -65,7 +66,7 @@
 
 private:
   using Refusal = std::function<void()>;
-  enum class Phase { Taking, Refusing, Ended };
+  enum class Phase { Accepting, Refusing, Ended };
 
   /// Shared with the ways to answer.
   class State {
@@ -75,13 +76,13 @@
     /// @return whether the call was open until now.
     bool answer(uint64_t id);
     void refuseAll(Phase phase);
-    void takeAgain();
+    void resumeAccepting();
     CallCounts counts() const;
 
   private:
     mutable std::mutex mutex_;
     // All below is guarded by mutex_.
-    Phase phase_ = Phase::Taking;
+    Phase phase_ = Phase::Accepting;
     uint64_t next_id_ = 1;
     std::unordered_map<uint64_t, Refusal> open_;
     CallCounts counts_;
--- a/src/daemon/relay/relay_run.cc
+++ b/src/daemon/relay/active_request.cc
@@ -1,4 +1,4 @@
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,25 +13,25 @@
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
 /// Part of the objective for which a request waits for a place. A caller that is refused by then
 /// can still be served in time elsewhere or later.
-constexpr double kWaitPart = 0.2;
+constexpr double kMaxWaitFraction = 0.2;
 /// After so many runners that declined, the service is taken to be full.
-constexpr uint32_t kMostDeclines = 3;
+constexpr uint32_t kMaxDeclines = 3;
 
 } // namespace
 
-RelayRun::RelayRun(boost::asio::io_context& context, RelayState& state, http::Exchange& exchange,
-                   RelayRequest request)
+ActiveRequest::ActiveRequest(boost::asio::io_context& context, RelayState& state,
+                             http::Exchange& exchange, RelayRequest request)
     : context_(context), state_(state), exchange_(exchange), request_(std::move(request)),
       deadline_(context), wait_(context) {}
 
-void RelayRun::end() {
+void ActiveRequest::end() {
   wait_.cancel();
   if (connection_) {
     connection_->close();
   }
 }
 
-void RelayRun::armDeadline() {
+void ActiveRequest::armDeadline() {
   const int64_t left = request_.deadline_ms - state_.clock.monotonicMs();
   deadline_.expires_after(std::chrono::milliseconds(std::max<int64_t>(left, 0)));
   deadline_.async_wait([weak = weak_from_this()](boost::system::error_code failure) {
@@ -43,59 +43,59 @@
   });
 }
 
-void RelayRun::noteTime() {
-  if (!ended() && state_.clock.monotonicMs() >= request_.deadline_ms) {
+void ActiveRequest::checkDeadline() {
+  if (!interrupted() && state_.clock.monotonicMs() >= request_.deadline_ms) {
     timed_out_ = true;
     end();
   }
 }
 
-void RelayRun::takeBackIfQuarantined() {
+void ActiveRequest::cancelIfQuarantined() {
   if (inQuarantine() && !stream_started_) {
-    taken_back_ = true;
+    quarantine_cancelled_ = true;
     end();
   }
 }
 
-http::awaitable<void> RelayRun::run() {
+http::awaitable<void> ActiveRequest::run() {
   const auto self = shared_from_this();
-  state_.runs.insert(this);
+  state_.active_requests.insert(this);
   armDeadline();
   exchange_.onHangUp([weak = weak_from_this()] {
     if (const auto run = weak.lock()) {
-      run->left_ = true;
+      run->caller_left_ = true;
       run->end();
     }
   });
-  state_.budget.noteRequest(request_.service, request_.received_ms);
+  state_.budget.recordRequest(request_.service, request_.received_ms);
   // A request that ended its runners would end the next one too, with all that runs beside it.
-  while (!ended() && !barred()) {
-    const auto chosen = co_await findPlace();
-    if (ended()) {
+  while (!interrupted() && !blocked()) {
+    const auto chosen = co_await findSlot();
+    if (interrupted()) {
       break;
     }
     const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
     no_runner_ =
         choice == nullptr ? std::optional(std::get<relay::NoRunner>(chosen)) : std::nullopt;
-    if (no_runner_ == relay::NoRunner::AllFull && co_await awaitPlace()) {
+    if (no_runner_ == relay::NoRunner::AllFull && co_await waitForSlot()) {
       continue;
     }
-    if (choice == nullptr || !mayRepeat()) {
+    if (choice == nullptr || !takeRepeatFromBudget()) {
       break;
     }
-    noteChoice(*choice);
-    if (line_place_.number != 0) {
+    recordChoice(*choice);
+    if (queue_position_.number != 0) {
       // Where there was one place, there may be another for the next in line.
-      state_.line.callNext(request_.service);
+      state_.queue.wakeNext(request_.service);
     }
     last_end_ = co_await attempt(*choice);
     if (last_end_ == AttemptEnd::Answered || !mayTryAgain(last_end_)) {
       break;
     }
   }
-  state_.runs.erase(this);
-  place_.giveBack();
-  endTrial();
+  state_.active_requests.erase(this);
+  slot_.release();
+  returnUnusedTrial();
   deadline_.cancel();
   exchange_.onHangUp(nullptr);
   co_await finish();
@@ -103,13 +103,13 @@
   state_.read_ahead.close(reader_);
 }
 
-relay::HomeRegions RelayRun::homeRegions() const {
+relay::HomeRegions ActiveRequest::homeRegions() const {
   return relay::HomeRegions{
       .of_route = &request_.route->home_regions,
       .of_tenant = request_.tenant == nullptr ? nullptr : &request_.tenant->home_regions};
 }
 
-relay::RunnerRequest RelayRun::runnerRequest() const {
+relay::RunnerRequest ActiveRequest::runnerRequest() const {
   return relay::RunnerRequest{.service = request_.service,
                               .cache_key = request_.cache_key,
                               .parent_key = request_.parent_key,
@@ -118,33 +118,36 @@
                               .now_ms = state_.clock.monotonicMs(),
                               .engine = request_.engine,
                               .home_regions = homeRegions(),
-                              .standing = request_.standing,
-                              .asks_again = line_place_.number != 0 || offers_refused_ != 0,
-                              .past_limits = stream_started_,
-                              .asks_owners = asksOwners(),
-                              .refused_places = offers_refused_,
+                              .rank = request_.rank,
+                              .already_counted =
+                                  queue_position_.number != 0 || refused_in_search_ != 0,
+                              .ignores_limits = stream_started_,
+                              .uses_slot_owners = usesSlotOwners(),
+                              .refused_slots = refused_in_search_,
                               .trial = trial_};
 }
 
-bool RelayRun::asksOwners() const { return state_.places && state_.policy.place_owners; }
+bool ActiveRequest::usesSlotOwners() const {
+  return state_.slot_client && state_.policy.place_owners;
+}
 
 /// Chooses runners until one has a place, by its owner where owners are asked.
-http::awaitable<std::variant<relay::RunnerChoice, relay::NoRunner>> RelayRun::findPlace() {
-  offers_refused_ = 0;
+http::awaitable<std::variant<relay::RunnerChoice, relay::NoRunner>> ActiveRequest::findSlot() {
+  refused_in_search_ = 0;
   takeTrial();
   auto chosen = chooseRunner();
-  while (!ended()) {
+  while (!interrupted()) {
     const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
-    const bool placed = choice != nullptr && (!asksOwners() || co_await takePlace(*choice));
+    const bool placed = choice != nullptr && (!usesSlotOwners() || co_await claimSlot(*choice));
     if (placed || (choice == nullptr && !trial_)) {
       break;
     }
-    places_refused_ += choice == nullptr ? 0 : 1;
+    slots_refused_ += choice == nullptr ? 0 : 1;
     if (trial_) {
       // A version on trial that has no room must not cost the request its place at the others.
-      endTrial();
+      returnUnusedTrial();
     } else {
-      ++offers_refused_;
+      ++refused_in_search_;
     }
     chosen = chooseRunner();
   }
@@ -152,35 +155,36 @@
 }
 
 /// @return whether the request may be sent to the runner.
-http::awaitable<bool> RelayRun::takePlace(const relay::RunnerChoice& choice) {
+http::awaitable<bool> ActiveRequest::claimSlot(const relay::RunnerChoice& choice) {
   const uint64_t runner = choice.runner->fingerprint;
   if (stream_started_) {
-    place_ = state_.places->hold(runner);
+    slot_ = state_.slot_client->takeWithoutClaim(runner);
     co_return true;
   }
   const int64_t asked_ms = state_.clock.monotonicMs();
   const uint32_t cold_ms = state_.runners.coldMs(*choice.runner, asked_ms);
-  PlaceReply reply = co_await state_.places->claim(runner, choice.limit, cold_ms);
-  if (reply.verdict == PlaceVerdict::Unanswered) {
+  SlotClaimResult reply = co_await state_.slot_client->claim(runner, choice.limit, cold_ms);
+  if (reply.verdict == SlotVerdict::Unanswered) {
     // Without the owner what the sums tell must do; they tell nothing of a cold runner's pace.
     ++unanswered_claims_;
     const bool fits = cold_ms == 0 && choice.runner->load() < choice.limit;
-    place_ = fits ? state_.places->hold(runner) : PlaceHold();
+    slot_ = fits ? state_.slot_client->takeWithoutClaim(runner) : SlotGuard();
     co_return fits;
   }
-  place_ = std::move(reply.place);
-  state_.runners.noteLoad(*choice.runner, reply.load);
+  slot_ = std::move(reply.place);
+  state_.runners.recordLoad(*choice.runner, reply.load);
   if (reply.wait_ms != 0) {
-    ++places_held_back_;
-    state_.runners.noteHeldBack(*choice.runner, reply.wait_ms, state_.clock.monotonicMs());
+    ++slots_held_back_;
+    state_.runners.recordHoldBack(*choice.runner, reply.wait_ms, state_.clock.monotonicMs());
   }
-  co_return reply.verdict == PlaceVerdict::Granted;
+  co_return reply.verdict == SlotVerdict::Granted;
 }
 
 /// A request that has not waited yet does not overtake those that do.
-std::variant<relay::RunnerChoice, relay::NoRunner> RelayRun::chooseRunner() {
-  const bool newcomer = state_.policy.waiting_line && line_place_.number == 0 && arrivals_ == 0;
-  if (newcomer && state_.line.hasBefore(request_.service, request_.standing.priority)) {
+std::variant<relay::RunnerChoice, relay::NoRunner> ActiveRequest::chooseRunner() {
+  const bool newcomer =
+      state_.policy.waiting_line && queue_position_.number == 0 && sent_attempts_ == 0;
+  if (newcomer && state_.queue.hasRequestAhead(request_.service, request_.rank.priority)) {
     return relay::NoRunner::AllFull;
   }
   return state_.runners.choose(runnerRequest());
@@ -188,38 +192,38 @@
 
 /// Waits for a place at some runner.
 /// @return whether to choose again; otherwise the request is to be refused.
-http::awaitable<bool> RelayRun::awaitPlace() {
-  const auto part_ms = static_cast<int64_t>(kWaitPart * request_.route->objective_ms);
+http::awaitable<bool> ActiveRequest::waitForSlot() {
+  const auto part_ms = static_cast<int64_t>(kMaxWaitFraction * request_.route->objective_ms);
   const int64_t left_ms = request_.received_ms + part_ms - state_.clock.monotonicMs();
   if (left_ms <= 0 || !state_.policy.waiting_line) {
     co_return false;
   }
-  if (line_place_.number == 0) {
-    line_place_ = state_.line.newPlace(request_.standing.priority, request_.deadline_ms);
+  if (queue_position_.number == 0) {
+    queue_position_ = state_.queue.newPosition(request_.rank.priority, request_.deadline_ms);
   }
   bool called = false;
   wait_.expires_after(std::chrono::milliseconds(left_ms));
-  const bool joined = state_.line.join(request_.service, line_place_,
-                                       [this, &called](relay::WaitingLine::Call call) {
-                                         called = call == relay::WaitingLine::Call::Try;
-                                         wait_.cancel();
-                                       });
+  const bool joined = state_.queue.enqueue(
+      request_.service, queue_position_, [this, &called](relay::RequestQueues::WakeReason call) {
+        called = call == relay::RequestQueues::WakeReason::SlotMayBeFree;
+        wait_.cancel();
+      });
   if (!joined) {
     co_return false;
   }
   co_await wait_.async_wait(kAwait);
-  state_.line.leave(request_.service, line_place_);
+  state_.queue.remove(request_.service, queue_position_);
   waited_until_ms_ = state_.clock.monotonicMs();
-  co_return called && !ended();
+  co_return called && !interrupted();
 }
 
 /// Repeats are taken from the budget.
-bool RelayRun::mayRepeat() {
-  if (arrivals_ == 0) {
+bool ActiveRequest::takeRepeatFromBudget() {
+  if (sent_attempts_ == 0) {
     return true;
   }
   if (!state_.policy.repeats ||
-      !state_.budget.takeRepeat(request_.service, state_.clock.monotonicMs())) {
+      !state_.budget.takeRetry(request_.service, state_.clock.monotonicMs())) {
     ++state_.stats.repeats_refused;
     return false;
   }
@@ -228,17 +232,17 @@
   return true;
 }
 
-void RelayRun::noteChoice(const relay::RunnerChoice& choice) {
+void ActiveRequest::recordChoice(const relay::RunnerChoice& choice) {
   tried_.push_back(choice.runner->entry.id());
   load_at_choice_ = choice.runner->load();
   passed_over_ = choice.passed_over;
-  place_limit_ = choice.limit;
+  slot_limit_ = choice.limit;
   last_resort_ = choice.last_resort;
-  backoff_at_choice_ms_ = choice.runner->backoff.time.leftMs(state_.clock.monotonicMs());
+  backoff_at_choice_ms_ = choice.runner->backoff.time.remainingMs(state_.clock.monotonicMs());
 }
 
-bool RelayRun::mayTryAgain(AttemptEnd last) const {
-  if (last == AttemptEnd::NotRun && declines_ >= kMostDeclines) {
+bool ActiveRequest::mayTryAgain(AttemptEnd last) const {
+  if (last == AttemptEnd::NotRun && declines_ >= kMaxDeclines) {
     return false;
   }
   if (last != AttemptEnd::Broken) {
--- a/src/daemon/relay/relay_answer.cc
+++ b/src/daemon/relay/active_request_answer.cc
@@ -8,15 +8,15 @@
 
 #include "adapters/logging/line_log.h"
 #include "core/header_text.h"
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 
 namespace workshatch::daemon {
 
 namespace {
 
 /// The rest of an answer that declines is read for so long, to keep the connection.
-constexpr std::chrono::milliseconds kRefusalLimit{300};
-constexpr size_t kMostPlainBytes = size_t{16} * 1024 * 1024;
+constexpr std::chrono::milliseconds kRefusalReadTimeout{300};
+constexpr size_t kMaxPlainBytes = size_t{16} * 1024 * 1024;
 constexpr unsigned kServerErrors = 500;
 
 bool isSuccess(unsigned status) { return status >= 200 && status < 300; }
@@ -33,11 +33,12 @@
 } // namespace
 
 /// The runner did not run the request. The rest of its answer is read only to keep the connection.
-http::awaitable<RelayRun::AttemptResult> RelayRun::takeRefusal(relay::AttemptOutcome outcome) {
+http::awaitable<ActiveRequest::AttemptResult>
+ActiveRequest::handleRefusal(relay::AttemptOutcome outcome) {
   last_error_ = "declined with " + std::to_string(connection_->head().result_int());
   std::string rest = "-";
   while (!rest.empty()) {
-    auto part = co_await connection_->read(kRefusalLimit);
+    auto part = co_await connection_->read(kRefusalReadTimeout);
     if (std::holds_alternative<http::CallError>(part)) {
       connection_->close();
       break;
@@ -47,7 +48,7 @@
   co_return AttemptResult{.end = AttemptEnd::NotRun, .outcome = outcome};
 }
 
-http::awaitable<RelayRun::AttemptResult> RelayRun::takeAnswer(relay::Runner& runner) {
+http::awaitable<ActiveRequest::AttemptResult> ActiveRequest::handleAnswer(relay::Runner& runner) {
   const HeaderNames& names = state_.dialect.headers();
   const auto& head = connection_->head();
   const unsigned status = head.result_int();
@@ -58,10 +59,10 @@
     co_return broken("answer of another request");
   }
   if (head.result() == http::Status::misdirected_request) {
-    co_return co_await takeRefusal(relay::AttemptOutcome::Misdirected);
+    co_return co_await handleRefusal(relay::AttemptOutcome::Misdirected);
   }
   if (not_run && head.result() != http::Status::bad_request) {
-    co_return co_await takeRefusal(relay::AttemptOutcome::Refused);
+    co_return co_await handleRefusal(relay::AttemptOutcome::Refused);
   }
   const bool signed_answer = http::fieldOf(head, names.signature).has_value();
   if (isSuccess(status) && (!signed_answer || !id)) {
@@ -76,10 +77,10 @@
   if (stream_started_) {
     co_return broken("no stream to go on with: " + std::to_string(status));
   }
-  co_return co_await takePlainAnswer();
+  co_return co_await relayPlainAnswer();
 }
 
-http::Response RelayRun::answerHead() const {
+http::Response ActiveRequest::responseHead() const {
   const HeaderNames& names = state_.dialect.headers();
   const auto& head = connection_->head();
   http::Response response;
@@ -94,11 +95,11 @@
   return response;
 }
 
-http::awaitable<RelayRun::AttemptResult> RelayRun::takePlainAnswer() {
-  http::Response response = answerHead();
+http::awaitable<ActiveRequest::AttemptResult> ActiveRequest::relayPlainAnswer() {
+  http::Response response = responseHead();
   std::string body;
   while (true) {
-    auto part = co_await connection_->read(silenceLimit(false));
+    auto part = co_await connection_->read(silenceTimeout(false));
     if (const auto* error = std::get_if<http::CallError>(&part)) {
       co_return brokenBy(*error);
     }
@@ -107,7 +108,7 @@
       break;
     }
     body += text;
-    if (body.size() > kMostPlainBytes) {
+    if (body.size() > kMaxPlainBytes) {
       co_return broken("the answer is too large");
     }
   }
@@ -125,18 +126,18 @@
   co_return AttemptResult{.end = AttemptEnd::Answered, .outcome = relay::AttemptOutcome::Succeeded};
 }
 
-http::awaitable<bool> RelayRun::relayEvent(const relay::WholeEvent& event) {
+http::awaitable<bool> ActiveRequest::relayEvent(const relay::CompleteEvent& event) {
   const int64_t now = state_.clock.monotonicMs();
   if (!stream_started_) {
     stream_started_ = true;
     first_event_ms_ = now;
     state_.stats.first_event.add(now - request_.received_ms);
-    http::Response head = answerHead();
+    http::Response head = responseHead();
     const bool started = co_await exchange_.startStream(std::move(head));
     if (!started) {
       co_return false;
     }
-    watchReader();
+    trackReader();
   } else {
     state_.stats.event_gap.add(now - last_event_ms_);
   }
@@ -147,43 +148,43 @@
     last_event_id_ = event.id;
   }
   exchange_.send(event.bytes);
-  if (state_.read_ahead.isFull(exchange_.heldBytes())) {
+  if (state_.read_ahead.isFull(exchange_.bufferedBytes())) {
     co_return co_await exchange_.drained(state_.read_ahead.lowBytes());
   }
   co_return exchange_.keepsUp();
 }
 
 /// Counts what is held for the caller from now on.
-void RelayRun::watchReader() {
+void ActiveRequest::trackReader() {
   reader_ = state_.read_ahead.open([weak = weak_from_this()] {
     if (const auto run = weak.lock()) {
-      run->cutReader();
+      run->abortSlowReader();
     }
   });
   exchange_.onHeldChange([weak = weak_from_this()] {
     if (const auto run = weak.lock()) {
-      run->state_.read_ahead.note(run->reader_, run->exchange_.heldBytes(),
-                                  run->exchange_.takenBytes());
+      run->state_.read_ahead.update(run->reader_, run->exchange_.bufferedBytes(),
+                                    run->exchange_.takenBytes());
     }
   });
 }
 
 /// Ends the request: the memory that its caller's unread answer takes is needed for others.
-void RelayRun::cutReader() {
+void ActiveRequest::abortSlowReader() {
   line_log::write("reader_cut", {{"request", request_.id},
-                                 {"held_bytes", exchange_.heldBytes()},
+                                 {"held_bytes", exchange_.bufferedBytes()},
                                  {"read_bytes", exchange_.takenBytes()},
-                                 {"all_held_bytes", state_.read_ahead.heldBytes()},
+                                 {"all_held_bytes", state_.read_ahead.bufferedBytes()},
                                  {"readers", state_.read_ahead.readers()}});
   reader_cut_ = true;
   exchange_.abort();
   end();
 }
 
-http::awaitable<RelayRun::AttemptResult> RelayRun::relayStream(relay::Runner& runner) {
+http::awaitable<ActiveRequest::AttemptResult> ActiveRequest::relayStream(relay::Runner& runner) {
   relay::EventSplitter splitter;
   while (true) {
-    auto part = co_await connection_->read(silenceLimit(true));
+    auto part = co_await connection_->read(silenceTimeout(true));
     if (const auto* error = std::get_if<http::CallError>(&part)) {
       co_return brokenBy(*error);
     }
@@ -191,15 +192,15 @@
     if (text.empty()) {
       break;
     }
-    noteSignOfLife(runner);
+    recordActivity(runner);
     splitter.feed(text);
     while (const auto event = splitter.next()) {
-      if (ended()) {
+      if (interrupted()) {
         co_return broken(last_error_);
       }
       const bool written = co_await relayEvent(*event);
       if (!written) {
-        left_ = !reader_cut_;
+        caller_left_ = !reader_cut_;
         co_return broken(last_error_);
       }
     }
--- a/src/daemon/relay/relay_attempt.cc
+++ b/src/daemon/relay/active_request_attempt.cc
@@ -4,17 +4,17 @@
 #include <utility>
 
 #include "adapters/logging/line_log.h"
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 
 namespace workshatch::daemon {
 
 namespace {
 
-constexpr std::chrono::milliseconds kConnectLimit{300};
+constexpr std::chrono::milliseconds kConnectTimeout{300};
 /// A repeatable request leaves a runner that is silent for this many objectives.
-constexpr int64_t kPatienceInObjectives = 2;
-constexpr int64_t kLeastPatienceMs = 400;
-constexpr std::chrono::milliseconds kStreamPatience{1500};
+constexpr int64_t kSilenceTimeoutObjectives = 2;
+constexpr int64_t kMinSilenceTimeoutMs = 400;
+constexpr std::chrono::milliseconds kStreamSilenceTimeout{1500};
 
 const char* nameOf(relay::AttemptOutcome outcome) {
   switch (outcome) {
@@ -40,40 +40,40 @@
 
 } // namespace
 
-void RelayRun::noteSignOfLife(relay::Runner& runner) {
-  state_.runners.noteSignOfLife(runner, state_.clock.monotonicMs());
+void ActiveRequest::recordActivity(relay::Runner& runner) {
+  state_.runners.recordActivity(runner, state_.clock.monotonicMs());
 }
 
 /// Takes what the head of an answer says of the runner and of further requests to it.
-void RelayRun::noteNotice(relay::Runner& runner) {
+void ActiveRequest::applyNotice(relay::Runner& runner) {
   const auto& head = connection_->head();
-  notice_ = state_.dialect.runnerNotice(
-      AnswerHead{.status = head.result_int(),
-                 .field = [&head](std::string_view name) { return http::fieldOf(head, name); }});
+  notice_ = state_.dialect.parseRunnerNotice(
+      ResponseHead{.status = head.result_int(),
+                   .field = [&head](std::string_view name) { return http::fieldOf(head, name); }});
   state_.stats.note(notice_);
-  state_.runners.noteNotice(runner, notice_, state_.clock.monotonicMs());
+  state_.runners.applyNotice(runner, notice_, state_.clock.monotonicMs());
 }
 
-void RelayRun::noteBackoffAtSend(const relay::Runner& runner) {
+void ActiveRequest::recordBackoffAtSend(const relay::Runner& runner) {
   const int64_t now_ms = state_.clock.monotonicMs();
-  backoff_at_send_ms_ = runner.backoff.time.leftMs(now_ms);
+  backoff_at_send_ms_ = runner.backoff.time.remainingMs(now_ms);
   state_.stats.sent_in_backoff += runner.backoff.holds(now_ms) ? 1 : 0;
 }
 
-std::chrono::milliseconds RelayRun::silenceLimit(bool streaming) const {
+std::chrono::milliseconds ActiveRequest::silenceTimeout(bool streaming) const {
   const bool another = state_.policy.silence_limits && request_.repeatable() &&
                        ran_attempts_ + 1 < request_.route->max_attempts;
   if (!another) {
     return std::chrono::milliseconds(0);
   }
   if (streaming || request_.route->kind == relay::RouteKind::Streaming) {
-    return kStreamPatience;
+    return kStreamSilenceTimeout;
   }
   return std::chrono::milliseconds(
-      std::max(kLeastPatienceMs, kPatienceInObjectives * request_.route->objective_ms));
+      std::max(kMinSilenceTimeoutMs, kSilenceTimeoutObjectives * request_.route->objective_ms));
 }
 
-http::awaitable<RelayRun::ConnectOutcome> RelayRun::connect(const relay::Runner& runner) {
+http::awaitable<ActiveRequest::ConnectOutcome> ActiveRequest::connect(const relay::Runner& runner) {
   connection_ = state_.connections.take(runner.entry.address());
   if (connection_) {
     co_return ConnectOutcome::Connected;
@@ -83,10 +83,10 @@
     co_return ConnectOutcome::Failed;
   }
   connection_ = std::make_shared<http::RunnerConnection>(context_);
-  const auto error = co_await connection_->connect(*endpoint, kConnectLimit);
+  const auto error = co_await connection_->connect(*endpoint, kConnectTimeout);
   if (!error) {
-    if (state_.runner_ends) {
-      state_.runner_ends->noteListening(runner);
+    if (state_.crash_reporter) {
+      state_.crash_reporter->recordListening(runner);
     }
     co_return ConnectOutcome::Connected;
   }
@@ -95,13 +95,13 @@
 }
 
 /// Records how the attempt ended: at the runner, in the counters and in the log.
-void RelayRun::noteEnd(relay::Runner& runner, const AttemptResult& result) {
+void ActiveRequest::recordAttemptEnd(relay::Runner& runner, const AttemptResult& result) {
   if (result.end == AttemptEnd::Broken || result.end == AttemptEnd::Answered) {
     may_have_run_ = true;
     ++ran_attempts_;
   }
   declines_ += result.outcome == relay::AttemptOutcome::Refused ? 1 : 0;
-  const bool abandoned = ended() && result.end != AttemptEnd::Answered;
+  const bool abandoned = interrupted() && result.end != AttemptEnd::Answered;
   const relay::AttemptOutcome outcome =
       abandoned ? relay::AttemptOutcome::Abandoned : result.outcome;
   const int64_t now_ms = state_.clock.monotonicMs();
@@ -110,9 +110,9 @@
     state_.tenants.end(request_.tenant->name);
   }
   if (result.end == AttemptEnd::Answered) {
-    state_.return_times.noteEnded(request_.service, now_ms);
+    state_.retry_after_scheduler.recordCompletion(request_.service, now_ms);
   }
-  state_.line.callNext(request_.service);
+  state_.queue.wakeNext(request_.service);
   ++state_.stats.attempts[nameOf(outcome)];
   if (result.end != AttemptEnd::Answered) {
     const int64_t backoff_asked_ms =
@@ -134,7 +134,7 @@
 }
 
 /// Keeps the connection for another request, or closes it.
-void RelayRun::releaseConnection(const relay::Runner& runner) {
+void ActiveRequest::releaseConnection(const relay::Runner& runner) {
   if (connection_ && connection_->reusable()) {
     state_.connections.give(runner.entry.address(), connection_);
   } else if (connection_) {
@@ -143,28 +143,29 @@
   connection_.reset();
 }
 
-http::awaitable<std::optional<http::CallError>> RelayRun::send(const relay::RunnerChoice& choice) {
-  if (arrivals_++ == 0) {
-    state_.runners.rollouts().noteSent(request_.service);
+http::awaitable<std::optional<http::CallError>>
+ActiveRequest::send(const relay::RunnerChoice& choice) {
+  if (sent_attempts_++ == 0) {
+    state_.runners.rollouts().recordSent(request_.service);
   }
   // Sent: it counts for the version on trial, however it ends.
   trial_ = false;
   sent_ms_ = state_.clock.monotonicMs();
   const int64_t remaining_ms = request_.deadline_ms - state_.clock.monotonicMs();
-  std::string bytes =
-      formatForRunner(exchange_.request(), request_, state_,
-                      AttemptHeaders{.runner_id = choice.runner->entry.id(),
-                                     .remaining_ms = remaining_ms,
-                                     .last_event_id = last_event_id_,
-                                     .fetch_from = source_ ? source_->entry.address() : ""});
-  co_return co_await connection_->exchange(std::move(bytes), silenceLimit(false));
+  std::string bytes = formatForRunner(
+      exchange_.request(), request_, state_,
+      AttemptHeaders{.runner_id = choice.runner->entry.id(),
+                     .remaining_ms = remaining_ms,
+                     .last_event_id = last_event_id_,
+                     .fetch_from = prefix_source_ ? prefix_source_->entry.address() : ""});
+  co_return co_await connection_->exchange(std::move(bytes), silenceTimeout(false));
 }
 
-relay::PromptTarget RelayRun::promptTarget(const relay::Runner& runner) const {
+relay::PromptTarget ActiveRequest::promptTarget(const relay::Runner& runner) const {
   const auto copyUs = [&](uint64_t tokens) {
     return static_cast<uint32_t>(request_.token_copy_us * static_cast<double>(tokens));
   };
-  return relay::PromptTarget{.part = request_.cache_key,
+  return relay::PromptTarget{.prefix = request_.cache_key,
                              .parent = request_.parent_key,
                              .runner = runner.fingerprint,
                              .part_copy_us = copyUs(request_.cached_tokens),
@@ -172,22 +173,23 @@
 }
 
 /// Asks who keeps parts of the prompt; the answer comes while a connection is made.
-std::optional<PartClient::Question> RelayRun::askForSource(const relay::Runner& runner) {
-  const bool asks = request_.cache_key != 0 && state_.parts && state_.policy.part_directory &&
-                    state_.policy.fetch_cached_parts;
-  return asks ? std::optional(state_.parts->ask(promptTarget(runner))) : std::nullopt;
+std::optional<PrefixClient::Lookup> ActiveRequest::lookUpPrefixSource(const relay::Runner& runner) {
+  const bool asks = request_.cache_key != 0 && state_.prefix_client &&
+                    state_.policy.part_directory && state_.policy.fetch_cached_parts;
+  return asks ? std::optional(state_.prefix_client->lookUpSource(promptTarget(runner)))
+              : std::nullopt;
 }
 
 /// @return the runner that the directory names; without its word the one that this relay guesses.
 http::awaitable<std::shared_ptr<relay::Runner>>
-RelayRun::takeSource(std::optional<PartClient::Question> question,
-                     const relay::RunnerChoice& choice) {
-  std::optional<relay::PartSource> told;
+ActiveRequest::awaitPrefixSource(std::optional<PrefixClient::Lookup> question,
+                                 const relay::RunnerChoice& choice) {
+  std::optional<relay::PrefixSource> told;
   if (question) {
     told = co_await question->answer();
   }
   if (!told || !told->known) {
-    co_return state_.runners.guessSource(runnerRequest(), *choice.runner);
+    co_return state_.runners.likelyPrefixSource(runnerRequest(), *choice.runner);
   }
   const auto source = state_.runners.find(told->runner);
   const bool allowed = source != nullptr && state_.runners.isHome(homeRegions(), *source);
@@ -197,8 +199,8 @@
 /// @return whether nothing has come, since the place was taken, that keeps the request from the
 /// runner: an order, the runner's own word, the end of the caller's patience, or of the lease while
 /// the machine slept.
-bool RelayRun::mayBeSent(const relay::Runner& runner) {
-  noteTime();
+bool ActiveRequest::mayBeSent(const relay::Runner& runner) {
+  checkDeadline();
   if (runner.evacuated) {
     last_error_ = "zone evacuated";
     return false;
@@ -211,7 +213,7 @@
     last_error_ = "runner asked for a backoff";
     return false;
   }
-  if (!state_.runners.isOpenTo(runner, trial_)) {
+  if (!state_.runners.isAdmittedByRollout(runner, trial_)) {
     last_error_ = "version held back by a rollout";
     return false;
   }
@@ -223,38 +225,40 @@
     last_error_ = "lease lost";
     return false;
   }
-  return !ended();
+  return !interrupted();
 }
 
-http::awaitable<RelayRun::AttemptResult> RelayRun::callRunner(const relay::RunnerChoice& choice) {
+http::awaitable<ActiveRequest::AttemptResult>
+ActiveRequest::callRunner(const relay::RunnerChoice& choice) {
   relay::Runner& runner = *choice.runner;
-  auto question = askForSource(runner);
+  auto question = lookUpPrefixSource(runner);
   const ConnectOutcome connected = co_await connect(runner);
-  if (connected != ConnectOutcome::Connected || ended()) {
+  if (connected != ConnectOutcome::Connected || interrupted()) {
     const bool gone = connected == ConnectOutcome::Refused;
     co_return AttemptResult{.end = AttemptEnd::Unreachable,
                             .outcome = gone ? relay::AttemptOutcome::ProcessGone
                                             : relay::AttemptOutcome::Unreachable};
   }
-  source_ = co_await takeSource(std::move(question), choice);
-  part_source_ = source_ ? source_->entry.id() : "";
+  prefix_source_ = co_await awaitPrefixSource(std::move(question), choice);
+  prefix_source_id_ = prefix_source_ ? prefix_source_->entry.id() : "";
   // Nothing is waited for between here and the send.
   if (!mayBeSent(runner)) {
     co_return AttemptResult{.end = AttemptEnd::Withdrawn,
                             .outcome = relay::AttemptOutcome::Withdrawn};
   }
-  state_.runners.noteSent(runnerRequest(), choice);
-  noteBackoffAtSend(runner);
+  state_.runners.recordSent(runnerRequest(), choice);
+  recordBackoffAtSend(runner);
   const auto error = co_await send(choice);
   if (error) {
     co_return brokenBy(*error);
   }
-  noteSignOfLife(runner);
-  noteNotice(runner);
-  co_return co_await takeAnswer(runner);
+  recordActivity(runner);
+  applyNotice(runner);
+  co_return co_await handleAnswer(runner);
 }
 
-http::awaitable<RelayRun::AttemptEnd> RelayRun::attempt(const relay::RunnerChoice& choice) {
+http::awaitable<ActiveRequest::AttemptEnd>
+ActiveRequest::attempt(const relay::RunnerChoice& choice) {
   relay::Runner& runner = *choice.runner;
   sent_ms_ = 0;
   backoff_at_send_ms_ = 0;
@@ -265,43 +269,43 @@
   }
   const AttemptResult result = co_await callRunner(choice);
   releaseConnection(runner);
-  place_.giveBack();
+  slot_.release();
   const bool reached = result.end == AttemptEnd::Answered || result.end == AttemptEnd::Broken;
-  if (!reached && request_.cache_key != 0 && state_.parts) {
-    state_.parts->tellNotSent(promptTarget(runner));
+  if (!reached && request_.cache_key != 0 && state_.prefix_client) {
+    state_.prefix_client->reportNotSent(promptTarget(runner));
   }
-  noteForQuarantine(runner, result);
-  noteForRollout(runner, result);
-  noteEnd(runner, result);
+  recordForQuarantine(runner, result);
+  recordForRollout(runner, result);
+  recordAttemptEnd(runner, result);
   co_return result.end;
 }
 
 /// The runner may have run the request and gave no whole answer; its connection is of no more use.
-RelayRun::AttemptResult RelayRun::broken(std::string error) {
+ActiveRequest::AttemptResult ActiveRequest::broken(std::string error) {
   last_error_ = std::move(error);
   connection_->close();
   return AttemptResult{.end = AttemptEnd::Broken, .outcome = relay::AttemptOutcome::Failed};
 }
 
 /// As `broken`, by what the connection tells.
-RelayRun::AttemptResult RelayRun::brokenBy(const http::CallError& error) {
-  const bool by_runner = !error.timed_out && !ended();
+ActiveRequest::AttemptResult ActiveRequest::brokenBy(const http::CallError& error) {
+  const bool by_runner = !error.timed_out && !interrupted();
   AttemptResult result = broken(error.timed_out ? "silent" : error.message);
-  result.cut = by_runner;
+  result.closed_by_runner = by_runner;
   return result;
 }
 
 /// Takes what the attempt shows of a request that may have ended its runner.
-void RelayRun::noteForQuarantine(const relay::Runner& runner, const AttemptResult& result) {
-  if (!state_.runner_ends) {
+void ActiveRequest::recordForQuarantine(const relay::Runner& runner, const AttemptResult& result) {
+  if (!state_.crash_reporter) {
     return;
   }
-  if (result.cut) {
-    state_.runner_ends->noteCut(runner, request_.identity);
+  if (result.closed_by_runner) {
+    state_.crash_reporter->recordDisconnect(runner, request_.identity);
   } else if (result.outcome == relay::AttemptOutcome::ProcessGone) {
-    state_.runner_ends->noteRefused(runner);
+    state_.crash_reporter->recordConnectionRefused(runner);
   } else if (result.outcome == relay::AttemptOutcome::Succeeded) {
-    state_.runner_ends->noteWhole(request_.identity);
+    state_.crash_reporter->recordCompleted(request_.identity);
   }
 }
 
--- a/src/daemon/relay/relay_outcome.cc
+++ b/src/daemon/relay/active_request_outcome.cc
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "adapters/logging/line_log.h"
-#include "core/relay/runner_end_times.h"
-#include "daemon/relay/relay_run.h"
+#include "core/relay/runner_crash_times.h"
+#include "daemon/relay/active_request.h"
 
 namespace workshatch::daemon {
 
@@ -16,7 +16,8 @@
 
 } // namespace
 
-http::awaitable<void> RelayRun::refuse(http::Status status, std::string code, std::string detail) {
+http::awaitable<void> ActiveRequest::refuse(http::Status status, std::string code,
+                                            std::string detail) {
   http::Problem problem{.status = status,
                         .code = std::move(code),
                         .detail = std::move(detail),
@@ -30,18 +31,18 @@
   co_await exchange_.respond(std::move(response));
 }
 
-uint32_t RelayRun::retryAfterMs() const {
+uint32_t ActiveRequest::retryAfterMs() const {
   if (const uint64_t* since_ms = state_.quarantine.sinceMs(request_.identity)) {
     return relay::quarantineLeftMs(*since_ms, state_.clock.wallMs());
   }
-  const bool returns_later = wasFull() || wereBackingOff();
+  const bool returns_later = runnersFull() || runnersBackingOff();
   if (!returns_later || !state_.policy.paced_returns) {
     return kRetryWithoutRunnerMs;
   }
   const int64_t now_ms = state_.clock.monotonicMs();
-  const uint32_t paced_ms =
-      state_.return_times.nextAfterMs(request_.service, request_.deadline_ms - now_ms, now_ms);
-  if (!wereBackingOff()) {
+  const uint32_t paced_ms = state_.retry_after_scheduler.nextDelayMs(
+      request_.service, request_.deadline_ms - now_ms, now_ms);
+  if (!runnersBackingOff()) {
     return paced_ms;
   }
   // Runners back off from one relay at a time: the caller may be served by another before.
@@ -49,12 +50,12 @@
   return static_cast<uint32_t>(std::clamp<int64_t>(backoff_ms, 1, paced_ms));
 }
 
-http::awaitable<void> RelayRun::finish() {
+http::awaitable<void> ActiveRequest::finish() {
   if (last_end_ == AttemptEnd::Answered) {
     logOutcome("answered");
     co_return;
   }
-  if (left_) {
+  if (caller_left_) {
     logOutcome("caller_left");
     exchange_.breakOff();
     co_return;
@@ -101,13 +102,13 @@
 }
 
 /// No runner has run the request, and none can now.
-http::awaitable<void> RelayRun::refuseNotRun() {
+http::awaitable<void> ActiveRequest::refuseNotRun() {
   std::string code = "no_runner";
   std::string detail = "no runner could take the request";
-  if (wereBackingOff()) {
+  if (runnersBackingOff()) {
     code = "all_backing_off";
     detail = "all runners asked this relay to pause";
-  } else if (wasFull()) {
+  } else if (runnersFull()) {
     code = "all_full";
     detail = "all runners are full";
   }
@@ -116,7 +117,7 @@
   co_await refuse(http::Status::service_unavailable, std::move(code), std::move(detail));
 }
 
-void RelayRun::logOutcome(const std::string& outcome) {
+void ActiveRequest::logOutcome(const std::string& outcome) {
   ++state_.stats.outcomes[outcome];
   const int64_t now = state_.clock.monotonicMs();
   line_log::write(
@@ -129,19 +130,19 @@
        {"tried", tried_},
        {"runner_load", load_at_choice_},
        {"passed_over", passed_over_},
-       {"priority", request_.standing.priority},
-       {"over_share", request_.standing.over_share},
+       {"priority", request_.rank.priority},
+       {"over_share", request_.rank.over_share},
        {"declines", declines_},
        {"last_resort", last_resort_},
        {"backoff_at_choice_ms", backoff_at_choice_ms_},
        {"backoff_at_send_ms", backoff_at_send_ms_},
-       {"part_source", part_source_},
-       {"place_limit", place_limit_},
-       {"places_refused", places_refused_},
-       {"places_held_back", places_held_back_},
+       {"part_source", prefix_source_id_},
+       {"place_limit", slot_limit_},
+       {"places_refused", slots_refused_},
+       {"places_held_back", slots_held_back_},
        {"evacuations", state_.runners.evacuationVersion()},
        {"owners_silent", unanswered_claims_},
-       {"sums_age_ms", state_.runners.sumsAgeMs(now)},
+       {"sums_age_ms", state_.runners.loadTotalsAgeMs(now)},
        {"waited_ms", waited_until_ms_ == 0 ? 0 : waited_until_ms_ - request_.received_ms},
        {"ms", now - request_.received_ms},
        {"first_ms", stream_started_ ? first_event_ms_ - request_.received_ms : -1},
--- a/src/daemon/relay/relay_trial.cc
+++ b/src/daemon/relay/active_request_rollout.cc
@@ -4,14 +4,14 @@
 #include <utility>
 
 #include "core/relay/group_state.h"
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 
 namespace workshatch::daemon {
 
 /// Only a first send counts towards a version on trial, and only while this relay would learn at
 /// once that it was rolled back.
-void RelayRun::takeTrial() {
-  if (trial_ || arrivals_ != 0 || stream_started_) {
+void ActiveRequest::takeTrial() {
+  if (trial_ || sent_attempts_ != 0 || stream_started_) {
     return;
   }
   trial_ = state_.lease.isFresh(state_.clock.monotonicMs()) &&
@@ -19,19 +19,19 @@
 }
 
 /// Gives back a trial that was not sent.
-void RelayRun::endTrial() {
+void ActiveRequest::returnUnusedTrial() {
   if (std::exchange(trial_, false)) {
     state_.runners.rollouts().returnTrial(request_.service);
   }
 }
 
 /// Takes what an attempt tells of the runner's version.
-void RelayRun::noteForRollout(const relay::Runner& runner, const AttemptResult& result) {
-  const v1::Rollout* rollout = state_.runners.rollouts().rolloutOf(request_.service);
-  const bool withdrawn = left_ || taken_back_;
+void ActiveRequest::recordForRollout(const relay::Runner& runner, const AttemptResult& result) {
+  const v1::Rollout* rollout = state_.runners.rollouts().findRollout(request_.service);
+  const bool withdrawn = caller_left_ || quarantine_cancelled_;
   const bool told =
       result.end == AttemptEnd::Answered || (result.end == AttemptEnd::Broken && !withdrawn);
-  if (rollout == nullptr || !relay::isUnderWay(*rollout) || sent_ms_ == 0 || !told) {
+  if (rollout == nullptr || !relay::isInProgress(*rollout) || sent_ms_ == 0 || !told) {
     return;
   }
   relay::VersionOutcome outcome{.route = request_.route->name,
@@ -47,7 +47,7 @@
   } else if (whole_here) {
     outcome.step_ms = static_cast<double>(now_ms - sent_ms_);
   }
-  state_.rollout_outcomes.note(rollout->id(), outcome);
+  state_.rollout_outcomes.record(rollout->id(), outcome);
 }
 
 } // namespace workshatch::daemon
--- a/src/daemon/relay/control_link.cc
+++ b/src/daemon/relay/control_link.cc
@@ -12,14 +12,14 @@
 namespace {
 
 /// Without a confirmed lease the leader is sought more often.
-constexpr std::chrono::milliseconds kSeekPeriod{80};
+constexpr std::chrono::milliseconds kLeaderSearchPeriod{80};
 /// A link on which nothing comes for so long, or for so many periods, is given up.
-constexpr int64_t kSilentMs = 800;
-constexpr int64_t kSilentPeriods = 3;
+constexpr int64_t kSilenceTimeoutMs = 800;
+constexpr int64_t kSilenceTimeoutPeriods = 3;
 /// Attempts to reach a replica between two steps.
 constexpr uint32_t kDialsPerStep = 3;
 /// A replica that knows no leader is left after so many answers.
-constexpr uint32_t kMostUnconfirmed = 2;
+constexpr uint32_t kMaxUnconfirmed = 2;
 
 } // namespace
 
@@ -45,7 +45,7 @@
 }
 
 void ControlLink::schedule() {
-  timer_.expires_after(confirmed_ ? renew_period_ : kSeekPeriod);
+  timer_.expires_after(confirmed_ ? renew_period_ : kLeaderSearchPeriod);
   timer_.async_wait([this](boost::system::error_code failure) {
     if (failure) {
       return;
@@ -63,9 +63,10 @@
     }
     return;
   }
-  noteBytes();
-  const int64_t silent_ms = std::max(kSilentMs, kSilentPeriods * renew_period_.count());
-  if (clock_.monotonicMs() - heard_at_ms_ > silent_ms) {
+  recordActivity();
+  const int64_t silent_ms =
+      std::max(kSilenceTimeoutMs, kSilenceTimeoutPeriods * renew_period_.count());
+  if (clock_.monotonicMs() - last_activity_ms_ > silent_ms) {
     drop("silent");
     dialNext();
     return;
@@ -74,10 +75,10 @@
 }
 
 /// A large frame may take longer to arrive than a link may be silent.
-void ControlLink::noteBytes() {
+void ControlLink::recordActivity() {
   const uint64_t bytes = link_->bytesReceived();
-  if (std::exchange(heard_bytes_, bytes) != bytes) {
-    heard_at_ms_ = clock_.monotonicMs();
+  if (std::exchange(last_received_bytes_, bytes) != bytes) {
+    last_activity_ms_ = clock_.monotonicMs();
   }
 }
 
@@ -143,11 +144,11 @@
     }
     link_ = std::move(link);
     link_address_ = address;
-    heard_at_ms_ = clock_.monotonicMs();
-    heard_bytes_ = 0;
+    last_activity_ms_ = clock_.monotonicMs();
+    last_received_bytes_ = 0;
     unconfirmed_ = 0;
     first_on_link_ = true;
-    link_->start([this](const v1::Frame& frame) { received(frame); }, [this] { drop("closed"); });
+    link_->start([this](const v1::Frame& frame) { onFrame(frame); }, [this] { drop("closed"); });
     renew();
   });
 }
@@ -163,7 +164,7 @@
 }
 
 /// A replica that had known no leader knows one now.
-void ControlLink::leaderNamed(const std::string& address) {
+void ControlLink::onLeaderAnnounced(const std::string& address) {
   if (address == link_address_) {
     renew();
     return;
@@ -173,7 +174,7 @@
   dialNext();
 }
 
-void ControlLink::received(const v1::Frame& frame) {
+void ControlLink::onFrame(const v1::Frame& frame) {
   if (!frame.has_lease()) {
     return;
   }
@@ -182,7 +183,7 @@
     members_.assign(reply.members().begin(), reply.members().end());
   }
   if (reply.sequence() == 0 && !reply.leader_address().empty()) {
-    leaderNamed(reply.leader_address());
+    onLeaderAnnounced(reply.leader_address());
     return;
   }
   if (reply.renew_now()) {
@@ -194,7 +195,7 @@
     confirmed_ = true;
     if (reply.renew_period_ms() != 0) {
       const int64_t told_ms = reply.renew_period_ms();
-      renew_period_ = std::chrono::milliseconds(std::min(told_ms, relay::kMostRenewalPeriodMs));
+      renew_period_ = std::chrono::milliseconds(std::min(told_ms, relay::kMaxRenewalPeriodMs));
     }
     on_reply_(reply);
     return;
@@ -203,7 +204,7 @@
   if (redirect) {
     hinted_leader_ = reply.leader_address();
   }
-  if (redirect || ++unconfirmed_ >= kMostUnconfirmed) {
+  if (redirect || ++unconfirmed_ >= kMaxUnconfirmed) {
     drop(redirect ? "not_leader" : "no_leader");
     dialNext();
   }
--- a/src/daemon/relay/control_link.h
+++ b/src/daemon/relay/control_link.h
@@ -51,10 +51,10 @@
   void renew();
   void dialNext();
   void dial(const std::string& address);
-  void received(const v1::Frame& frame);
-  void leaderNamed(const std::string& address);
+  void onFrame(const v1::Frame& frame);
+  void onLeaderAnnounced(const std::string& address);
   void drop(const char* reason);
-  void noteBytes();
+  void recordActivity();
   std::string nextCandidate();
 
   boost::asio::io_context& context_;
@@ -73,8 +73,8 @@
   std::string hinted_leader_;
   size_t candidate_ = 0;
   /// When bytes last came on the link, or the link began.
-  int64_t heard_at_ms_ = 0;
-  uint64_t heard_bytes_ = 0;
+  int64_t last_activity_ms_ = 0;
+  uint64_t last_received_bytes_ = 0;
   /// Traffic of the links before the present one.
   Traffic earlier_traffic_;
   uint32_t unconfirmed_ = 0;
--- a/src/daemon/relay/lease_wait.cc
+++ b/src/daemon/relay/lease_wait.cc
@@ -8,7 +8,7 @@
 namespace asio = boost::asio;
 
 asio::awaitable<void> LeaseWait::wait(std::chrono::milliseconds longest) {
-  if (waiting_.size() >= kMostWaiting) {
+  if (waiting_.size() >= kMaxWaiting) {
     co_return;
   }
   asio::steady_timer timer(context_, longest);
--- a/src/daemon/relay/lease_wait.h
+++ b/src/daemon/relay/lease_wait.h
@@ -14,7 +14,7 @@
 
 /// Lives on the relay's event loop.
 ///
-/// Guarantee: at most `kMostWaiting` wait; each is woken by the lease or by its own limit.
+/// Guarantee: at most `kMaxWaiting` wait; each is woken by the lease or by its own limit.
 class LeaseWait {
 public:
   explicit LeaseWait(boost::asio::io_context& context) : context_(context) {}
@@ -27,7 +27,7 @@
 private:
   /// Bounds memory: twice the requests of a whole site of ten relays (250 a second) in the 600 ms
   /// for which a first lease is waited for.
-  static constexpr size_t kMostWaiting = 300;
+  static constexpr size_t kMaxWaiting = 300;
 
   boost::asio::io_context& context_;
   /// Timers of those that wait; each lives in its coroutine.
--- a/src/daemon/relay/part_client.cc
+++ b/src/daemon/relay/prefix_client.cc
@@ -1,4 +1,4 @@
-#include "daemon/relay/part_client.h"
+#include "daemon/relay/prefix_client.h"
 
 #include <utility>
 #include <vector>
@@ -10,21 +10,21 @@
 namespace {
 
 /// What was not used for long is looked for so often.
-constexpr int64_t kForgetPeriodMs = 2000;
+constexpr int64_t kExpiryPeriodMs = 2000;
 
 } // namespace
 
-PartClient::PartClient(std::shared_ptr<RelayPeers> peers, const Clock& clock,
-                       relay::PartDirectory::Usable usable)
+PrefixClient::PrefixClient(std::shared_ptr<RelayPeers> peers, const Clock& clock,
+                           relay::PrefixDirectory::Usable usable)
     : peers_(std::move(peers)), clock_(clock), usable_(std::move(usable)) {
   peers_->onFrame(v1::Frame::kPartQuestion,
                   [this](const v1::Frame& frame, const std::string& from) {
-                    answerQuestion(frame.part_question(), from);
+                    answerLookup(frame.part_question(), from);
                   });
   peers_->onFrame(v1::Frame::kPartNotSent, [this](const v1::Frame& frame, const std::string&) {
     const v1::PartNotSent& told = frame.part_not_sent();
-    directory_.noteNotSent(
-        relay::PromptTarget{.part = told.part(), .parent = told.parent(), .runner = told.runner()});
+    directory_.recordNotDelivered(relay::PromptTarget{
+        .prefix = told.part(), .parent = told.parent(), .runner = told.runner()});
   });
   peers_->onAnswer(v1::Frame::kPartAnswer,
                    [](const v1::Frame& frame) { return frame.part_answer().sequence(); });
@@ -32,12 +32,12 @@
       RelayPeers::RelayListObserver{.before = [] {},
                                     .after =
                                         [this](const std::vector<std::string>&) {
-                                          directory_.noteOwnersChanged(clock_.monotonicMs());
+                                          directory_.recordOwnersChanged(clock_.monotonicMs());
                                         }});
 }
 
-PartClient::Question PartClient::ask(const relay::PromptTarget& prompt) {
-  Question asked(*this);
+PrefixClient::Lookup PrefixClient::lookUpSource(const relay::PromptTarget& prompt) {
+  Lookup asked(*this);
   const std::string* counting = peers_->ownerOf(prompt.group());
   if (counting == nullptr || peers_->isSilent(*counting)) {
     return asked;
@@ -49,7 +49,7 @@
   v1::Frame frame;
   v1::PartQuestion& question = *frame.mutable_part_question();
   question.set_sequence(++sequence_);
-  question.set_part(prompt.part);
+  question.set_part(prompt.prefix);
   question.set_parent(prompt.parent);
   question.set_runner(prompt.runner);
   question.set_part_copy_us(prompt.part_copy_us);
@@ -59,7 +59,7 @@
   return asked;
 }
 
-asio::awaitable<std::optional<relay::PartSource>> PartClient::Question::answer() {
+asio::awaitable<std::optional<relay::PrefixSource>> PrefixClient::Lookup::answer() {
   if (own_) {
     co_return client_.count(*own_);
   }
@@ -71,11 +71,11 @@
     ++client_.counts_.unanswered;
     co_return std::nullopt;
   }
-  co_return client_.count(relay::PartSource{.known = answer->part_answer().known(),
-                                            .runner = answer->part_answer().source()});
+  co_return client_.count(relay::PrefixSource{.known = answer->part_answer().known(),
+                                              .runner = answer->part_answer().source()});
 }
 
-relay::PartSource PartClient::count(const relay::PartSource& source) {
+relay::PrefixSource PrefixClient::count(const relay::PrefixSource& source) {
   if (source.runner != 0) {
     ++counts_.source_named;
   } else {
@@ -84,26 +84,26 @@
   return source;
 }
 
-void PartClient::tellNotSent(const relay::PromptTarget& prompt) {
+void PrefixClient::reportNotSent(const relay::PromptTarget& prompt) {
   const std::string* counting = peers_->ownerOf(prompt.group());
   if (counting == nullptr) {
     return;
   }
   if (*counting == peers_->ownAddress()) {
-    directory_.noteNotSent(prompt);
+    directory_.recordNotDelivered(prompt);
     return;
   }
   v1::Frame frame;
   v1::PartNotSent& told = *frame.mutable_part_not_sent();
-  told.set_part(prompt.part);
+  told.set_part(prompt.prefix);
   told.set_parent(prompt.parent);
   told.set_runner(prompt.runner);
   peers_->send(*counting, frame);
 }
 
-void PartClient::answerQuestion(const v1::PartQuestion& question, const std::string& from) {
-  const relay::PartSource source =
-      directory_.sourceFor(relay::PromptTarget{.part = question.part(),
+void PrefixClient::answerLookup(const v1::PartQuestion& question, const std::string& from) {
+  const relay::PrefixSource source =
+      directory_.sourceFor(relay::PromptTarget{.prefix = question.part(),
                                                .parent = question.parent(),
                                                .runner = question.runner(),
                                                .part_copy_us = question.part_copy_us(),
@@ -117,11 +117,11 @@
   peers_->send(from, frame);
 }
 
-void PartClient::tick() {
+void PrefixClient::tick() {
   const int64_t now_ms = clock_.monotonicMs();
   if (now_ms >= stale_due_ms_) {
-    stale_due_ms_ = now_ms + kForgetPeriodMs;
-    directory_.forgetStale(now_ms);
+    stale_due_ms_ = now_ms + kExpiryPeriodMs;
+    directory_.dropStale(now_ms);
   }
 }
 
--- a/src/daemon/relay/part_client.h
+++ b/src/daemon/relay/prefix_client.h
@@ -10,7 +10,7 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "core/relay/part_directory.h"
+#include "core/relay/prefix_directory.h"
 #include "daemon/relay/relay_peers.h"
 #include "ports/clock.h"
 
@@ -18,7 +18,7 @@
 
 /// Asks for sources, and answers other relays from the directory of the parts that this relay
 /// counts. Lives on the relay's event loop; not safe for concurrent use.
-class PartClient {
+class PrefixClient {
 public:
   /// Figures since the start.
   struct Counts {
@@ -31,48 +31,48 @@
   };
 
   /// A question that was asked; the answer is taken when it is needed.
-  class Question {
+  class Lookup {
   public:
     /// @return the source; empty: nobody answered in time.
-    boost::asio::awaitable<std::optional<relay::PartSource>> answer();
+    boost::asio::awaitable<std::optional<relay::PrefixSource>> answer();
 
   private:
-    friend class PartClient;
+    friend class PrefixClient;
 
-    explicit Question(PartClient& client) : client_(client) {}
+    explicit Lookup(PrefixClient& client) : client_(client) {}
 
-    PartClient& client_;
+    PrefixClient& client_;
     /// Set where this relay counts the part itself.
-    std::optional<relay::PartSource> own_;
+    std::optional<relay::PrefixSource> own_;
     std::unique_ptr<PeerCall> call_;
   };
 
   /// @param usable whether a runner can be copied from
-  PartClient(std::shared_ptr<RelayPeers> peers, const Clock& clock,
-             relay::PartDirectory::Usable usable);
+  PrefixClient(std::shared_ptr<RelayPeers> peers, const Clock& clock,
+               relay::PrefixDirectory::Usable usable);
 
   /// Tells that a prompt goes to its runner, and asks for a source. The client must outlive the
   /// question.
-  Question ask(const relay::PromptTarget& prompt);
+  Lookup lookUpSource(const relay::PromptTarget& prompt);
 
   /// Tells that a prompt of an earlier question did not reach its runner.
-  void tellNotSent(const relay::PromptTarget& prompt);
+  void reportNotSent(const relay::PromptTarget& prompt);
 
   /// Drops what was not used for long. Runs often.
   void tick();
 
   const Counts& counts() const { return counts_; }
   /// Parts that are counted here.
-  size_t countedParts() const { return directory_.partCount(); }
+  size_t trackedPrefixes() const { return directory_.prefixCount(); }
 
 private:
-  void answerQuestion(const v1::PartQuestion& question, const std::string& from);
-  relay::PartSource count(const relay::PartSource& source);
+  void answerLookup(const v1::PartQuestion& question, const std::string& from);
+  relay::PrefixSource count(const relay::PrefixSource& source);
 
   const std::shared_ptr<RelayPeers> peers_;
   const Clock& clock_;
-  const relay::PartDirectory::Usable usable_;
-  relay::PartDirectory directory_;
+  const relay::PrefixDirectory::Usable usable_;
+  relay::PrefixDirectory directory_;
   uint64_t sequence_ = 0;
   int64_t stale_due_ms_ = 0;
   Counts counts_;
--- a/src/daemon/relay/relay_lease.cc
+++ b/src/daemon/relay/relay_lease.cc
@@ -6,8 +6,8 @@
 #include "core/address_text.h"
 #include "core/relay/group_state.h"
 #include "core/relay/relay_list_history.h"
+#include "daemon/relay/active_request.h"
 #include "daemon/relay/relay_role.h"
-#include "daemon/relay/relay_run.h"
 
 namespace workshatch::daemon {
 
@@ -27,8 +27,8 @@
   renewal.set_quarantine_version(state_.quarantine.version());
   addRollouts(renewal);
   addSilentRelays(renewal);
-  runner_ends_->fill(renewal, first_on_link);
-  for (const relay::RequestIdentity& request : cleared_) {
+  crash_reporter_->fill(renewal, first_on_link);
+  for (const relay::RequestIdentity& request : completed_quarantined_) {
     *renewal.add_ran_whole() = relay::messageOf(request);
   }
   reported_loads_ = state_.runners.ownLoads(clock_.monotonicMs());
@@ -40,38 +40,38 @@
   return renewal;
 }
 
-void RelayRole::leaseReplied(const v1::LeaseReply& reply) {
-  group_heard_ms_ = clock_.monotonicMs();
-  if (reply.has_configuration() && !takeConfiguration(reply.configuration())) {
+void RelayRole::onLeaseReply(const v1::LeaseReply& reply) {
+  last_group_reply_ms_ = clock_.monotonicMs();
+  if (reply.has_configuration() && !applyConfiguration(reply.configuration())) {
     // Without it a confirmation would be worth nothing; the next link brings the whole document.
     received_.forget();
     control_.reconnect();
     return;
   }
   if (reply.has_evacuations()) {
-    takeEvacuations(reply.evacuations());
+    applyEvacuations(reply.evacuations());
   }
   if (reply.has_quarantine() && settings_.policy.quarantine) {
-    takeQuarantine(reply.quarantine());
+    applyQuarantine(reply.quarantine());
   }
   // Before the list of runners, which may bring those of the version on trial.
   if (reply.has_rollouts()) {
-    takeRollouts(reply.rollouts());
+    applyRollouts(reply.rollouts());
   }
-  if (reply.has_runners() && !takeRunners(reply.runners())) {
+  if (reply.has_runners() && !applyRunners(reply.runners())) {
     control_.reconnect();
     return;
   }
-  if (reply.has_relays() && !takeRelays(reply.relays())) {
+  if (reply.has_relays() && !applyRelays(reply.relays())) {
     control_.reconnect();
     return;
   }
   if (reply.has_loads()) {
-    state_.runners.setSums(reply.loads(), reported_loads_, clock_.monotonicMs());
+    state_.runners.setLoadTotals(reply.loads(), reported_loads_, clock_.monotonicMs());
     if (state_.routes) {
       state_.tenants.setOverShare(reply.over_share(), state_.routes->configuration());
     }
-    state_.line.callNextOfEach();
+    state_.queue.wakeNextOfEachService();
   }
   if (reply.confirmed()) {
     if (!state_.lease.everConfirmed()) {
@@ -82,7 +82,7 @@
   }
 }
 
-void RelayRole::takeEvacuations(const v1::EvacuationList& evacuations) {
+void RelayRole::applyEvacuations(const v1::EvacuationList& evacuations) {
   if (evacuations.version() <= state_.runners.evacuationVersion()) {
     return;
   }
@@ -94,14 +94,14 @@
   }
   line_log::write("evacuations_in_force",
                   {{"version", evacuations.version()}, {"zones", std::move(zones)}});
-  state_.line.callNextOfEach();
+  state_.queue.wakeNextOfEachService();
 }
 
 void RelayRole::addRollouts(v1::LeaseRenewal& renewal) const {
   const v1::RolloutList& held = state_.runners.rollouts().rollouts();
   renewal.set_rollout_version(held.version());
   for (const v1::Rollout& rollout : held.rollouts()) {
-    if (!relay::isUnderWay(rollout)) {
+    if (!relay::isInProgress(rollout)) {
       continue;
     }
     v1::RolloutReport& report = *renewal.add_rollouts();
@@ -111,13 +111,13 @@
   }
 }
 
-void RelayRole::takeRollouts(const v1::RolloutList& list) {
+void RelayRole::applyRollouts(const v1::RolloutList& list) {
   relay::RolloutGate& gate = state_.runners.rollouts();
   if (list.version() <= gate.rollouts().version()) {
     return;
   }
   gate.setRollouts(list, random_.next());
-  state_.rollout_outcomes.keepOnly(list);
+  state_.rollout_outcomes.dropFinished(list);
   nlohmann::json rollouts = nlohmann::json::array();
   for (const v1::Rollout& rollout : list.rollouts()) {
     rollouts.push_back({{"service", rollout.service()},
@@ -127,33 +127,33 @@
   }
   line_log::write("rollouts_in_force",
                   {{"version", list.version()}, {"rollouts", std::move(rollouts)}});
-  state_.line.callNextOfEach();
+  state_.queue.wakeNextOfEachService();
 }
 
-void RelayRole::takeQuarantine(const v1::QuarantineList& list) {
+void RelayRole::applyQuarantine(const v1::QuarantineList& list) {
   if (!state_.quarantine.setList(list)) {
     return;
   }
-  cleared_.clear();
+  completed_quarantined_.clear();
   nlohmann::json requests = nlohmann::json::array();
   for (const auto& [request, since_ms] : state_.quarantine.requests()) {
     requests.push_back({{"identity", relay::textOf(request)}, {"since_ms", since_ms}});
-    if (runner_ends_->ranWhole(request)) {
-      cleared_.push_back(request);
+    if (crash_reporter_->completedRecently(request)) {
+      completed_quarantined_.push_back(request);
     }
   }
-  for (RelayRun* run : state_.runs) {
-    run->takeBackIfQuarantined();
+  for (ActiveRequest* run : state_.active_requests) {
+    run->cancelIfQuarantined();
   }
   line_log::write("quarantine_in_force", {{"version", list.version()},
                                           {"requests", std::move(requests)},
-                                          {"ran_whole", cleared_.size()}});
-  if (!cleared_.empty()) {
+                                          {"ran_whole", completed_quarantined_.size()}});
+  if (!completed_quarantined_.empty()) {
     control_.renewNow();
   }
 }
 
-bool RelayRole::takeRunners(const v1::RunnerListUpdate& update) {
+bool RelayRole::applyRunners(const v1::RunnerListUpdate& update) {
   const auto taken = state_.runners.applyUpdate(update, clock_.monotonicMs());
   if (isError(taken)) {
     line_log::write("runner_list_update_unfit", {{"version", update.version()},
@@ -162,12 +162,12 @@
                                                  {"error", errorOf(taken).message}});
     return false;
   }
-  state_.line.callNextOfEach();
+  state_.queue.wakeNextOfEachService();
   return true;
 }
 
 /// @return false when the update does not fit what is held.
-bool RelayRole::takeRelays(const v1::RelayListUpdate& update) {
+bool RelayRole::applyRelays(const v1::RelayListUpdate& update) {
   auto list = relay::applyUpdate(relays_, update);
   if (isError(list)) {
     line_log::write("relay_list_update_unfit", {{"version", update.version()},
@@ -201,7 +201,7 @@
   silent_peers_.clear();
 }
 
-bool RelayRole::takeConfiguration(const v1::ConfigurationUpdate& update) {
+bool RelayRole::applyConfiguration(const v1::ConfigurationUpdate& update) {
   const Result<bool> taken = received_.take(update);
   if (isError(taken)) {
     line_log::write("configuration_update_unfit", {{"version", update.version()},
--- a/src/daemon/relay/relay_metrics.cc
+++ b/src/daemon/relay/relay_metrics.cc
@@ -12,7 +12,7 @@
 
 } // namespace
 
-http::awaitable<void> RelayRole::tellMetrics(http::Exchange& exchange) {
+http::awaitable<void> RelayRole::handleMetrics(http::Exchange& exchange) {
   std::string text;
   state_.stats.expose(text);
   exposeGauges(text);
@@ -39,7 +39,7 @@
                        static_cast<int64_t>(traffic.sent));
   metrics::exposeGauge(out, "relay_control_received_bytes", "frames from the group's leaders",
                        static_cast<int64_t>(traffic.received));
-  const PlaceClient::Counts& places = places_->counts();
+  const SlotClient::Counts& places = slot_client_->counts();
   metrics::exposeGauge(out, "relay_places_granted", "places that owners gave",
                        static_cast<int64_t>(places.granted));
   metrics::exposeGauge(out, "relay_places_refused", "claims for places that owners refused",
@@ -57,7 +57,7 @@
                        static_cast<int64_t>(peers.unreadable));
   metrics::exposeGauge(out, "relay_peers_late_answers", "answers that came after their limit",
                        static_cast<int64_t>(peers.late_answers));
-  const PartClient::Counts& parts = parts_->counts();
+  const PrefixClient::Counts& parts = prefix_client_->counts();
   metrics::exposeGauge(out, "relay_parts_source_named", "prompts for which a source was named",
                        static_cast<int64_t>(parts.source_named));
   metrics::exposeGauge(out, "relay_parts_no_source", "prompts whose runner keeps what there is",
@@ -68,24 +68,24 @@
   metrics::exposeGauge(out, "relay_parts_unanswered", "questions that nobody answered in time",
                        static_cast<int64_t>(parts.unanswered));
   metrics::exposeGauge(out, "relay_parts_counted", "parts of prompts that are counted here",
-                       static_cast<int64_t>(parts_->countedParts()));
+                       static_cast<int64_t>(prefix_client_->trackedPrefixes()));
   metrics::exposeGauge(out, "relay_places_runners", "runners whose places are counted here",
-                       static_cast<int64_t>(places_->ownedRunners()));
+                       static_cast<int64_t>(slot_client_->ownedRunners()));
   metrics::exposeGauge(out, "relay_places_held_back",
                        "claims refused since a runner was cold or its zone evacuated",
                        static_cast<int64_t>(places.held_back));
-  const RunnerEnds::Counts& ends = runner_ends_->counts();
+  const RunnerCrashReporter::Counts& ends = crash_reporter_->counts();
   metrics::exposeGauge(out, "relay_runner_looks",
                        "connections made to see whether a runner that cut a request has ended",
-                       static_cast<int64_t>(ends.looks));
+                       static_cast<int64_t>(ends.probes));
   metrics::exposeGauge(out, "relay_runner_looks_refused", "of these: it had",
                        static_cast<int64_t>(ends.refused));
   metrics::exposeGauge(out, "relay_runner_end_reports", "reports of ended runners to the leader",
                        static_cast<int64_t>(ends.reports));
   metrics::exposeGauge(out, "relay_read_ahead_bytes", "held for callers that read slowly",
-                       static_cast<int64_t>(state_.read_ahead.heldBytes()));
+                       static_cast<int64_t>(state_.read_ahead.bufferedBytes()));
   metrics::exposeGauge(out, "relay_readers_cut", "callers cut since others needed the memory",
-                       static_cast<int64_t>(state_.read_ahead.cuts()));
+                       static_cast<int64_t>(state_.read_ahead.cancelledReaders()));
   metrics::exposeGauge(out, "relay_work_times_told",
                        "answers with a figure of how long work takes at the runner",
                        static_cast<int64_t>(state_.stats.work_times_told));
@@ -93,7 +93,7 @@
                        static_cast<int64_t>(state_.stats.work_times_rejected));
   metrics::exposeGauge(out, "relay_runner_entries_taken",
                        "entries read from lists of runners and their updates",
-                       static_cast<int64_t>(state_.runners.entriesTaken()));
+                       static_cast<int64_t>(state_.runners.entriesApplied()));
   metrics::LabelledCounts rollouts;
   for (const v1::Rollout& rollout : state_.runners.rollouts().rollouts().rollouts()) {
     ++rollouts[relay::nameOf(rollout.phase())];
--- a/src/daemon/relay/relay_peers.cc
+++ b/src/daemon/relay/relay_peers.cc
@@ -11,7 +11,7 @@
 
 /// How long a question waits for its answer: some ten round trips between zones, a tenth of the
 /// shortest objective of a request.
-constexpr std::chrono::milliseconds kAnswerLimit{30};
+constexpr std::chrono::milliseconds kAnswerTimeout{30};
 
 std::string textOf(const datagram::UdpSocket::Endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
@@ -23,7 +23,7 @@
   own_address_ = address;
   return socket_.open(address,
                       [this](std::string_view bytes, const datagram::UdpSocket::Endpoint& from) {
-                        received(bytes, from);
+                        onDatagram(bytes, from);
                       });
 }
 
@@ -46,7 +46,7 @@
   socket_.send(address, bytes);
 }
 
-void RelayPeers::received(std::string_view bytes, const datagram::UdpSocket::Endpoint& from) {
+void RelayPeers::onDatagram(std::string_view bytes, const datagram::UdpSocket::Endpoint& from) {
   counts_.received_bytes += bytes.size();
   v1::Frame frame;
   if (!frame.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
@@ -78,7 +78,7 @@
                    const v1::Frame& question)
     : peers_(std::move(peers)), relay_(std::move(relay)), key_(key), timer_(peers_->context_) {
   peers_->calls_[key_] = this;
-  timer_.expires_after(kAnswerLimit);
+  timer_.expires_after(kAnswerTimeout);
   peers_->send(relay_, question);
 }
 
@@ -89,13 +89,13 @@
     co_await timer_.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   if (!answered_) {
-    peers_->owners_.noteSilent(relay_, peers_->clock_.monotonicMs());
+    peers_->owners_.recordUnanswered(relay_, peers_->clock_.monotonicMs());
     if (peers_->on_silent_) {
       peers_->on_silent_(relay_);
     }
     co_return nullptr;
   }
-  peers_->owners_.noteAnswer(relay_);
+  peers_->owners_.recordAnswered(relay_);
   co_return &answer_;
 }
 
--- a/src/daemon/relay/relay_peers.h
+++ b/src/daemon/relay/relay_peers.h
@@ -17,7 +17,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "adapters/datagram/udp_socket.h"
-#include "core/relay/place_owners.h"
+#include "core/relay/slot_owner_map.h"
 #include "ports/clock.h"
 #include "workshatch/v1/relay.pb.h"
 
@@ -96,13 +96,13 @@
 private:
   friend class PeerCall;
 
-  void received(std::string_view bytes, const datagram::UdpSocket::Endpoint& from);
+  void onDatagram(std::string_view bytes, const datagram::UdpSocket::Endpoint& from);
 
   boost::asio::io_context& context_;
   const Clock& clock_;
   datagram::UdpSocket socket_;
   std::string own_address_;
-  relay::PlaceOwners owners_;
+  relay::SlotOwnerMap owners_;
   std::vector<RelayListObserver> observers_;
   std::function<void(const std::string&)> on_silent_;
   std::map<v1::Frame::BodyCase, Handler> handlers_;
@@ -122,7 +122,7 @@
   PeerCall(const PeerCall&) = delete;
   PeerCall& operator=(const PeerCall&) = delete;
 
-  /// Waits for the answer, for `kAnswerLimit` since the question was sent at most.
+  /// Waits for the answer, for `kAnswerTimeout` since the question was sent at most.
   /// @return the answer, which lives as long as the call; null: none came in time.
   boost::asio::awaitable<const v1::Frame*> answer();
 
--- a/src/daemon/relay/relay_request.cc
+++ b/src/daemon/relay/relay_request.cc
@@ -17,12 +17,12 @@
 
 /// Bounds of when to come back while there is no lease: a group that lost all its processes gives
 /// leases again some 150 ms after they started; a longer silence is a cut, whose end nobody knows.
-constexpr int64_t kSoonestWithoutLeaseMs = 200;
-constexpr int64_t kLatestWithoutLeaseMs = 1000;
+constexpr int64_t kMinRetryWithoutLeaseMs = 200;
+constexpr int64_t kMaxRetryWithoutLeaseMs = 1000;
 constexpr uint32_t kRetryWhileStoppingMs = 50;
-constexpr uint32_t kMostPriority = 9;
+constexpr uint32_t kMaxPriority = 9;
 /// Priorities of a tenant lie this far apart, so that those of routes fit between.
-constexpr uint32_t kTenantStep = 3;
+constexpr uint32_t kTenantPriorityStep = 3;
 
 bool sameName(std::string_view left, std::string_view right) {
   return boost::beast::iequals(boost::beast::string_view(left.data(), left.size()),
@@ -75,10 +75,10 @@
 uint32_t retryWithoutLeaseMs(const RelayState& state, int64_t now_ms) {
   const int64_t silent_ms = state.lease.unconfirmedForMs(now_ms, state.started_ms);
   return static_cast<uint32_t>(
-      std::clamp(silent_ms, kSoonestWithoutLeaseMs, kLatestWithoutLeaseMs));
+      std::clamp(silent_ms, kMinRetryWithoutLeaseMs, kMaxRetryWithoutLeaseMs));
 }
 
-http::Problem outOfTouch(const RelayState& state, const RelayRequest& relayed) {
+http::Problem noLeaseRefusal(const RelayState& state, const RelayRequest& relayed) {
   return refusal(http::Status::service_unavailable, "no_lease",
                  "this relay has lost touch with the group", relayed.id,
                  retryWithoutLeaseMs(state, relayed.received_ms));
@@ -86,18 +86,18 @@
 
 /// @return the milliseconds that the caller will wait; nothing: it did not say, or it can't be
 /// read.
-std::optional<int64_t> patienceMsOf(const http::Request& request, const HeaderNames& names) {
+std::optional<int64_t> callerTimeoutMs(const http::Request& request, const HeaderNames& names) {
   const auto told = http::fieldOf(request, names.deadline);
-  const auto told_ms = told ? millisecondsOf(*told, 1) : std::nullopt;
+  const auto told_ms = told ? parseMilliseconds(*told, 1) : std::nullopt;
   return told_ms ? std::optional<int64_t>(*told_ms) : std::nullopt;
 }
 
 void readPrompt(const http::Request& request, const RelayDialect& dialect, RelayRequest& relayed) {
-  const auto value = http::fieldOf(request, dialect.headers().prompt_parts);
+  const auto value = http::fieldOf(request, dialect.headers().prefix_blocks);
   if (!value) {
     return;
   }
-  const std::vector<PromptPart> parts = dialect.promptParts(*value);
+  const std::vector<PrefixBlock> parts = dialect.parsePrefixBlocks(*value);
   constexpr size_t kSharedFromEnd = 2;
   uint64_t tokens = 0;
   for (size_t i = 0; i + 1 < parts.size(); ++i) {
@@ -118,14 +118,15 @@
   constexpr double kBitsPerByte = 8;
   // A Mbit/s is a bit in a microsecond.
   return service.engine_link_mbps > 0
-             ? service.token_bytes * kBitsPerByte / service.engine_link_mbps
+             ? service.kv_token_bytes * kBitsPerByte / service.engine_link_mbps
              : 0;
 }
 
 uint32_t priorityOf(const RelayRequest& relayed) {
   const uint32_t of_tenant = relayed.tenant == nullptr ? 0 : relayed.tenant->priority;
-  return std::min(of_tenant * kTenantStep + std::min(relayed.route->priority, kTenantStep - 1),
-                  kMostPriority);
+  return std::min(of_tenant * kTenantPriorityStep +
+                      std::min(relayed.route->priority, kTenantPriorityStep - 1),
+                  kMaxPriority);
 }
 
 void appendHeader(std::string& out, std::string_view name, std::string_view value) {
@@ -171,12 +172,12 @@
   const bool needs_key = !state.routes->configuration().tenants.empty() &&
                          (relayed.route == nullptr || !relayed.route->anonymous);
   if (relayed.route == nullptr || (needs_key && !lease_holds)) {
-    return outOfTouch(state, relayed);
+    return noLeaseRefusal(state, relayed);
   }
   if (needs_key) {
     relayed.tenant = state.routes->findTenant(http::fieldOf(request, names.key).value_or(""));
     if (relayed.tenant == nullptr && !lease_is_fresh) {
-      return outOfTouch(state, relayed);
+      return noLeaseRefusal(state, relayed);
     }
     if (relayed.tenant == nullptr) {
       return refusal(http::Status::unauthorized, "unknown_key", "the key is not known", id);
@@ -185,18 +186,18 @@
   relayed.identity =
       relay::identityOf(relayed.tenant == nullptr ? "" : relayed.tenant->name,
                         http::viewOf(request.method_string()), target, request.body());
-  relayed.standing.draw = routing::fingerprintOf(id);
-  relayed.service = relay::RouteTable::pickService(*relayed.route, relayed.standing.draw);
+  relayed.rank.draw = routing::fingerprintOf(id);
+  relayed.service = relay::RouteTable::pickService(*relayed.route, relayed.rank.draw);
   const int64_t allowed_ms = relayed.route->timeout_ms;
-  const int64_t told_ms = patienceMsOf(request, names).value_or(allowed_ms);
+  const int64_t told_ms = callerTimeoutMs(request, names).value_or(allowed_ms);
   relayed.deadline_ms = relayed.received_ms + std::min(told_ms, allowed_ms);
   readPrompt(request, state.dialect, relayed);
   const relay::Service* service = state.routes->findService(relayed.service);
   relayed.engine = service != nullptr && service->model_engine;
   relayed.token_copy_us = service == nullptr ? 0 : tokenCopyUs(*service);
-  relayed.standing.priority = priorityOf(relayed);
-  relayed.standing.over_share = state.policy.tenant_shares && relayed.tenant != nullptr &&
-                                state.tenants.overShare(relayed.tenant->name);
+  relayed.rank.priority = priorityOf(relayed);
+  relayed.rank.over_share = state.policy.tenant_shares && relayed.tenant != nullptr &&
+                            state.tenants.overShare(relayed.tenant->name);
   return relayed;
 }
 
@@ -204,8 +205,8 @@
   if (state.lease.everConfirmed() || !state.policy.first_lease_wait) {
     return 0;
   }
-  const auto patience_ms = patienceMsOf(request, state.dialect.headers());
-  return relay::firstLeaseWaitMs(received_ms - state.started_ms, patience_ms.value_or(0));
+  const auto caller_timeout_ms = callerTimeoutMs(request, state.dialect.headers());
+  return relay::firstLeaseWaitMs(received_ms - state.started_ms, caller_timeout_ms.value_or(0));
 }
 
 std::string formatForRunner(const http::Request& request, const RelayRequest& relayed,
@@ -225,7 +226,7 @@
   }
   appendHeader(out, names.deadline, std::to_string(std::max<int64_t>(attempt.remaining_ms, 1)));
   appendHeader(out, names.target_runner, attempt.runner_id);
-  appendHeader(out, names.priority, std::to_string(relayed.standing.priority));
+  appendHeader(out, names.priority, std::to_string(relayed.rank.priority));
   if (relayed.tenant != nullptr) {
     appendHeader(out, names.tenant, relayed.tenant->name);
   }
--- a/src/daemon/relay/relay_request.h
+++ b/src/daemon/relay/relay_request.h
@@ -41,7 +41,7 @@
   /// The service's runners are model engines.
   bool engine = false;
   /// Claim on a busy runner; its priority is also told to the runner.
-  relay::Standing standing;
+  relay::RequestRank rank;
 
   /// Whether an attempt that may have run may be followed by another.
   bool repeatable() const {
--- a/src/daemon/relay/relay_role.cc
+++ b/src/daemon/relay/relay_role.cc
@@ -14,7 +14,7 @@
 #include "core/address_text.h"
 #include "core/relay/list_period.h"
 #include "core/relay/relay_addresses.h"
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 #include "daemon/server_limits.h"
 
 namespace workshatch::daemon {
@@ -27,22 +27,22 @@
 constexpr std::chrono::milliseconds kHousekeepingPeriod{50};
 /// A process that did no housekeeping for so long has stood still: ten periods, more than a busy
 /// processor delays it.
-constexpr int64_t kStoodStillMs = 500;
+constexpr int64_t kSuspensionThresholdMs = 500;
 /// The group counts as silent after this; the relay then reads the list of runners itself.
 constexpr int64_t kGroupSilentMs = 1500;
 constexpr int64_t kGroupSilentAtStartMs = 4000;
-constexpr int64_t kOwnListStepMs = 1000;
+constexpr int64_t kOwnListPollMs = 1000;
 /// Relays are taken to be at least so many.
-constexpr size_t kReadersAssumed = 10;
+constexpr size_t kMinAssumedReaders = 10;
 /// Relays that read the list at the same time spread their calls over this.
 constexpr uint64_t kOwnListJitterMs = 400;
 /// New requests are taken for so long after a planned stop began.
-constexpr std::chrono::milliseconds kTakeWhileStopping{2800};
+constexpr std::chrono::milliseconds kAcceptWhileStopping{2800};
 /// Part of the time for a planned stop after which what is still in progress is cut.
-constexpr double kStopPart = 0.93;
+constexpr double kStopFraction = 0.93;
 
 /// @return a number from 0 to below 1.
-double drawLot(Random& random) {
+double randomFraction(Random& random) {
   constexpr uint64_t kLots = uint64_t{1} << 20U;
   return static_cast<double>(random.below(kLots)) / static_cast<double>(kLots);
 }
@@ -53,36 +53,37 @@
                      RelayAdapters adapters)
     : settings_(std::move(settings)), clock_(clock), context_(workers.context(0)),
       adapters_(adapters), random_(SeededRandom::fromEntropy()), incarnation_(random_.next()),
-      state_(settings_, clock, adapters.dialect, drawLot(random_)),
+      state_(settings_, clock, adapters.dialect, randomFraction(random_)),
       control_(
           context_, clock, settings_.seedLinks(),
           [this](bool first_on_link) { return makeRenewal(first_on_link); },
-          [this](const v1::LeaseReply& reply) { leaseReplied(reply); }),
+          [this](const v1::LeaseReply& reply) { onLeaseReply(reply); }),
       reader_(context_, clock_, settings_.runner_list_address, adapters.runner_lists),
       peers_(std::make_shared<RelayPeers>(context_, clock)),
-      places_(std::make_shared<PlaceClient>(peers_, clock, static_cast<uint32_t>(incarnation_),
-                                            [this](uint64_t runner) {
-                                              return state_.runners.ownedRunner(
-                                                  runner, clock_.monotonicMs());
-                                            })),
-      parts_(std::make_shared<PartClient>(peers_, clock,
-                                          [this](uint64_t runner) {
-                                            return state_.runners.isCopySource(
-                                                runner, clock_.monotonicMs());
-                                          })),
-      runner_ends_(std::make_shared<RunnerEnds>(context_, clock, [this] { control_.renewNow(); })),
+      slot_client_(std::make_shared<SlotClient>(peers_, clock, static_cast<uint32_t>(incarnation_),
+                                                [this](uint64_t runner) {
+                                                  return state_.runners.ownedRunner(
+                                                      runner, clock_.monotonicMs());
+                                                })),
+      prefix_client_(std::make_shared<PrefixClient>(peers_, clock,
+                                                    [this](uint64_t runner) {
+                                                      return state_.runners.isCopySource(
+                                                          runner, clock_.monotonicMs());
+                                                    })),
+      crash_reporter_(
+          std::make_shared<RunnerCrashReporter>(context_, clock, [this] { control_.renewNow(); })),
       caller_server_(
           workers, [this] { return callerLimits(); },
           [this](http::Exchange& exchange) { return handle(exchange); }, refuseBadRequest),
       ready_server_(
-          workers, smallLimits(), [this](http::Exchange& exchange) { return tellReady(exchange); },
-          refuseBadRequest),
+          workers, smallLimits(),
+          [this](http::Exchange& exchange) { return handleReady(exchange); }, refuseBadRequest),
       resolve_server_(
           workers, smallLimits(),
-          [this](http::Exchange& exchange) { return tellAddresses(exchange); }, refuseBadRequest),
+          [this](http::Exchange& exchange) { return handleResolve(exchange); }, refuseBadRequest),
       metrics_server_(
           workers, smallLimits(),
-          [this](http::Exchange& exchange) { return tellMetrics(exchange); }, refuseBadRequest),
+          [this](http::Exchange& exchange) { return handleMetrics(exchange); }, refuseBadRequest),
       lease_wait_(context_), housekeeping_(context_), log_flusher_(context_) {}
 
 Result<std::monostate> RelayRole::start() {
@@ -113,13 +114,13 @@
       control_.renewNow();
     }
   });
-  state_.places = places_;
-  state_.parts = parts_;
+  state_.slot_client = slot_client_;
+  state_.prefix_client = prefix_client_;
   if (settings_.policy.quarantine) {
-    state_.runner_ends = runner_ends_;
+    state_.crash_reporter = crash_reporter_;
   }
-  group_heard_ms_ = clock_.monotonicMs();
-  housekept_ms_ = clock_.monotonicMs();
+  last_group_reply_ms_ = clock_.monotonicMs();
+  last_housekeeping_ms_ = clock_.monotonicMs();
   control_.start();
   log_flusher_.start();
   housekeep();
@@ -166,8 +167,8 @@
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  const auto run = std::make_shared<RelayRun>(context_, state_, exchange,
-                                              std::move(std::get<RelayRequest>(admitted)));
+  const auto run = std::make_shared<ActiveRequest>(context_, state_, exchange,
+                                                   std::move(std::get<RelayRequest>(admitted)));
   co_await run->run();
 }
 
@@ -175,7 +176,7 @@
   return !state_.stopping && state_.routes && state_.lease.holds(clock_.monotonicMs());
 }
 
-http::awaitable<void> RelayRole::tellReady(http::Exchange& exchange) {
+http::awaitable<void> RelayRole::handleReady(http::Exchange& exchange) {
   const bool known = exchange.path() == adapters_.dialect.paths().ready;
   const http::Status refusal = known ? http::Status::service_unavailable : http::Status::not_found;
   http::Response response =
@@ -183,21 +184,21 @@
   co_await exchange.respond(std::move(response));
 }
 
-http::awaitable<void> RelayRole::tellAddresses(http::Exchange& exchange) {
+http::awaitable<void> RelayRole::handleResolve(http::Exchange& exchange) {
   if (exchange.path() != adapters_.dialect.paths().resolve) {
     http::Response response = http::makeResponse(http::Status::not_found, "text/plain", "");
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  const std::vector<std::string> chosen = relay::addressesFor(
+  const std::vector<std::string> chosen = relay::selectAddresses(
       relays_, settings_.zones,
-      relay::AddressQuestion{
+      relay::AddressQuery{
           .zone = http::queryParameter(exchange.target(), adapters_.dialect.zoneParameter())
                       .value_or(""),
           .region = http::queryParameter(exchange.target(), adapters_.dialect.regionParameter())
                         .value_or(""),
           .own_address = settings_.caller_address,
-          .in_touch = state_.lease.isFresh(clock_.monotonicMs()),
+          .confirmed_recently = state_.lease.isFresh(clock_.monotonicMs()),
           .draw = random_.next()});
   http::Response response =
       http::makeResponse(http::Status::ok, "application/json",
@@ -217,23 +218,23 @@
   asio::steady_timer timer(context_);
   while (true) {
     const auto jitter_ms = static_cast<int64_t>(random_.below(kOwnListJitterMs));
-    timer.expires_after(std::chrono::milliseconds(kOwnListStepMs + jitter_ms));
+    timer.expires_after(std::chrono::milliseconds(kOwnListPollMs + jitter_ms));
     co_await timer.async_wait(kAwait);
     const int64_t now = clock_.monotonicMs();
     // A relay that does not know how many there are leaves the rate to the group for longer.
     const int64_t silent_ms = state_.lease.everConfirmed() ? kGroupSilentMs : kGroupSilentAtStartMs;
     // Without the group all relays read: together they keep to the platform's rate.
-    const int64_t period_ms = relay::listPeriodMs(relay::ListReading{
+    const int64_t period_ms = relay::listPeriodMs(relay::ListPollOptions{
         .pages = reader_.pages(),
-        .readers = std::max<size_t>(static_cast<size_t>(relays_.relays_size()), kReadersAssumed),
+        .readers = std::max<size_t>(static_cast<size_t>(relays_.relays_size()), kMinAssumedReaders),
         .calls_per_s = settings_.runner_list_calls,
-        .wanted_ms = kOwnListStepMs});
-    if (now - group_heard_ms_ < silent_ms || now - own_list_read_ms_ < period_ms) {
+        .desired_period_ms = kOwnListPollMs});
+    if (now - last_group_reply_ms_ < silent_ms || now - own_list_read_ms_ < period_ms) {
       continue;
     }
     own_list_read_ms_ = now;
     Result<v1::RunnerList> list = co_await reader_.read();
-    const bool still_silent = clock_.monotonicMs() - group_heard_ms_ >= kGroupSilentMs;
+    const bool still_silent = clock_.monotonicMs() - last_group_reply_ms_ >= kGroupSilentMs;
     if (isError(list)) {
       line_log::write("runner_list_unread", {{"error", errorOf(list).message}});
     } else if (still_silent) {
@@ -244,26 +245,27 @@
 
 /// After a sleep or a freeze: what is over ends, and the group is asked before anything else, so
 /// that nothing is served on what was believed before.
-void RelayRole::noteAwake() {
+void RelayRole::checkForSuspension() {
   const int64_t now_ms = clock_.monotonicMs();
-  const bool stood_still = now_ms - std::exchange(housekept_ms_, now_ms) >= kStoodStillMs;
+  const bool stood_still =
+      now_ms - std::exchange(last_housekeeping_ms_, now_ms) >= kSuspensionThresholdMs;
   if (!stood_still) {
     return;
   }
   line_log::write("awake", {{"lease_age_ms", state_.lease.ageMs(now_ms)}});
-  for (RelayRun* run : state_.runs) {
-    run->noteTime();
+  for (ActiveRequest* run : state_.active_requests) {
+    run->checkDeadline();
   }
   control_.renewNow();
 }
 
 void RelayRole::housekeep() {
-  noteAwake();
+  checkForSuspension();
   state_.connections.dropExpired();
-  places_->tick();
-  parts_->tick();
+  slot_client_->tick();
+  prefix_client_->tick();
   // Runners that declined count as full for a time only, of whose end nothing else tells.
-  state_.line.callNextOfEach();
+  state_.queue.wakeNextOfEachService();
   housekeeping_.expires_after(kHousekeepingPeriod);
   housekeeping_.async_wait([this](boost::system::error_code failure) {
     if (!failure) {
@@ -286,13 +288,13 @@
   const int64_t begin = clock_.monotonicMs();
   asio::steady_timer timer(context_);
   caller_server_.closeConnections();
-  timer.expires_after(kTakeWhileStopping);
+  timer.expires_after(kAcceptWhileStopping);
   co_await timer.async_wait(kAwait);
   state_.refusing = true;
   caller_server_.stopAccepting();
   caller_server_.closeIdle();
   const auto last =
-      begin + static_cast<int64_t>(kStopPart * static_cast<double>(settings_.bounds.stop_ms));
+      begin + static_cast<int64_t>(kStopFraction * static_cast<double>(settings_.bounds.stop_ms));
   while (caller_server_.requestsInProgress() > 0 && clock_.monotonicMs() < last) {
     timer.expires_after(kHousekeepingPeriod);
     co_await timer.async_wait(kAwait);
--- a/src/daemon/relay/relay_role.h
+++ b/src/daemon/relay/relay_role.h
@@ -40,24 +40,24 @@
 
 private:
   http::awaitable<void> handle(http::Exchange& exchange);
-  http::awaitable<void> tellReady(http::Exchange& exchange);
-  http::awaitable<void> tellAddresses(http::Exchange& exchange);
-  http::awaitable<void> tellMetrics(http::Exchange& exchange);
+  http::awaitable<void> handleReady(http::Exchange& exchange);
+  http::awaitable<void> handleResolve(http::Exchange& exchange);
+  http::awaitable<void> handleMetrics(http::Exchange& exchange);
   http::awaitable<void> readRunnersWithoutGroup();
   http::awaitable<void> drain(std::function<void()> stopped);
   v1::LeaseRenewal makeRenewal(bool first_on_link);
-  void leaseReplied(const v1::LeaseReply& reply);
+  void onLeaseReply(const v1::LeaseReply& reply);
   /// @return false when the update does not fit what is held.
-  bool takeRunners(const v1::RunnerListUpdate& update);
-  void takeEvacuations(const v1::EvacuationList& evacuations);
-  void takeQuarantine(const v1::QuarantineList& list);
-  void takeRollouts(const v1::RolloutList& list);
+  bool applyRunners(const v1::RunnerListUpdate& update);
+  void applyEvacuations(const v1::EvacuationList& evacuations);
+  void applyQuarantine(const v1::QuarantineList& list);
+  void applyRollouts(const v1::RolloutList& list);
   void addRollouts(v1::LeaseRenewal& renewal) const;
-  bool takeConfiguration(const v1::ConfigurationUpdate& update);
-  bool takeRelays(const v1::RelayListUpdate& update);
+  bool applyConfiguration(const v1::ConfigurationUpdate& update);
+  bool applyRelays(const v1::RelayListUpdate& update);
   void addSilentRelays(v1::LeaseRenewal& renewal);
   void housekeep();
-  void noteAwake();
+  void checkForSuspension();
   bool ready() const;
   void exposeGauges(std::string& out) const;
   http::ServerLimits callerLimits() const;
@@ -74,19 +74,19 @@
   RunnerListReader reader_;
   const std::shared_ptr<RelayPeers> peers_;
   /// Shared with the places that requests hold, which may outlive the role.
-  const std::shared_ptr<PlaceClient> places_;
-  const std::shared_ptr<PartClient> parts_;
-  const std::shared_ptr<RunnerEnds> runner_ends_;
+  const std::shared_ptr<SlotClient> slot_client_;
+  const std::shared_ptr<PrefixClient> prefix_client_;
+  const std::shared_ptr<RunnerCrashReporter> crash_reporter_;
   /// Requests in quarantine that ran whole here lately; told with each renewal.
-  std::vector<relay::RequestIdentity> cleared_;
+  std::vector<relay::RequestIdentity> completed_quarantined_;
   ReceivedConfiguration received_;
   v1::RelayList relays_;
   /// Links of the relays that did not answer since the last renewal.
   std::set<std::string> silent_peers_;
   v1::EvacuationList evacuations_;
   v1::RunnerLoads reported_loads_;
-  int64_t group_heard_ms_ = 0;
-  int64_t housekept_ms_ = 0;
+  int64_t last_group_reply_ms_ = 0;
+  int64_t last_housekeeping_ms_ = 0;
   /// When this relay last read the list of runners itself.
   int64_t own_list_read_ms_ = 0;
   http::Server caller_server_;
--- /dev/null
+++ b/src/daemon/relay/runner_crash_reporter.cc
@@ -0,0 +1,90 @@
+#include "daemon/relay/runner_crash_reporter.h"
+
+#include <chrono>
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+
+#include "adapters/http/runner_connection.h"
+
+namespace workshatch::daemon {
+
+namespace asio = boost::asio;
+
+namespace {
+
+/// An address that nobody listens at refuses within a round trip; one that says nothing for longer
+/// is no sign of an end.
+constexpr std::chrono::milliseconds kProbeTimeout{300};
+
+} // namespace
+
+void RunnerCrashReporter::recordDisconnect(const relay::Runner& runner,
+                                           const relay::RequestIdentity& request) {
+  using AfterDisconnect = relay::RunnerCrashMonitor::AfterDisconnect;
+  const AfterDisconnect next =
+      watch_.recordDisconnect(runner.fingerprint, request, clock_.monotonicMs());
+  if (next == AfterDisconnect::Report) {
+    notifyLeader();
+  }
+  if (next != AfterDisconnect::Probe) {
+    return;
+  }
+  asio::co_spawn(
+      context_,
+      [self = shared_from_this(), id = runner.fingerprint, address = runner.entry.address()] {
+        return self->probe(id, address);
+      },
+      asio::detached);
+}
+
+http::awaitable<void> RunnerCrashReporter::probe(uint64_t runner, std::string address) {
+  const auto endpoint = http::parseEndpoint(address);
+  if (!endpoint) {
+    co_return;
+  }
+  ++counts_.probes;
+  const auto connection = std::make_shared<http::RunnerConnection>(context_);
+  const auto error = co_await connection->connect(*endpoint, kProbeTimeout);
+  connection->close();
+  if (!error) {
+    watch_.recordListening(runner);
+  } else if (error->refused) {
+    ++counts_.refused;
+    onConnectionRefused(runner);
+  }
+}
+
+void RunnerCrashReporter::onConnectionRefused(uint64_t runner) {
+  if (!watch_.recordConnectionRefused(runner, clock_.monotonicMs())) {
+    return;
+  }
+  notifyLeader();
+}
+
+void RunnerCrashReporter::notifyLeader() {
+  ++counts_.reports;
+  notify_leader_();
+}
+
+void RunnerCrashReporter::recordConnectionRefused(const relay::Runner& runner) {
+  onConnectionRefused(runner.fingerprint);
+}
+
+void RunnerCrashReporter::recordListening(const relay::Runner& runner) {
+  watch_.recordListening(runner.fingerprint);
+}
+
+void RunnerCrashReporter::recordCompleted(const relay::RequestIdentity& request) {
+  watch_.recordCompleted(request, clock_.monotonicMs());
+}
+
+bool RunnerCrashReporter::completedRecently(const relay::RequestIdentity& request) {
+  return watch_.completedRecently(request, clock_.monotonicMs());
+}
+
+void RunnerCrashReporter::fill(v1::LeaseRenewal& renewal, bool first_on_link) {
+  watch_.fill(renewal, first_on_link, clock_.monotonicMs());
+}
+
+} // namespace workshatch::daemon
--- a/src/daemon/router/engine_selector.cc
+++ b/src/daemon/router/engine_selector.cc
@@ -137,7 +137,7 @@
     if (answer.verdict == v1::PERMIT_GRANTED) {
       pass.placement = chosen(context, engine, answer, i == 0 ? "first choice" : "next choice");
       if (context.session != 0) {
-        permits_.sessionMoved(candidates.front(), context.session, engine.engine);
+        permits_.recordSessionMove(candidates.front(), context.session, engine.engine);
       }
       co_return pass;
     }
--- a/src/daemon/router/permit_client.cc
+++ b/src/daemon/router/permit_client.cc
@@ -51,7 +51,7 @@
 
 asio::awaitable<PermitAnswer> PermitClient::acquire(PermitWish wish) {
   PermitAnswer answer;
-  const serving::InForce in_force = tables_.inForce();
+  const serving::ServingSnapshot in_force = tables_.snapshot();
   const v1::RouterEntry* owner =
       routing::ownerOf(*in_force.view, wish.engine.engine, wish.engine.zone);
   if (owner == nullptr) {
@@ -121,8 +121,8 @@
   for (int unanswered = 0; unanswered < kTries;) {
     pending->answered = false;
     if (local) {
-      reply = tables_.withOwners([&](admission::OwnerTable& owners) {
-        return owners.request(request, clock_.monotonicMs());
+      reply = tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+        return permit_table.request(request, clock_.monotonicMs());
       });
     } else {
       v1::PeerDatagram datagram;
@@ -190,11 +190,12 @@
 }
 
 void PermitClient::sendRelease(const PendingRelease& release) {
-  const serving::InForce in_force = tables_.inForce();
+  const serving::ServingSnapshot in_force = tables_.snapshot();
   const v1::RouterEntry* owner = routing::ownerOf(*in_force.view, release.engine, release.zone);
   if (owner == nullptr || owner->name() == name_) {
-    tables_.withOwners(
-        [&](admission::OwnerTable& owners) { owners.release(release.permit, release.engine); });
+    tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+      permit_table.release(release.permit, release.engine);
+    });
     deliverOwnerReplies();
     const std::lock_guard lock(mutex_);
     releases_.erase(release.permit.sequence());
@@ -206,20 +207,21 @@
   socket_.send(owner->peer_address(), std::move(datagram));
 }
 
-void PermitClient::sessionMoved(const routing::EngineInfo& first, uint64_t session,
-                                const std::string& engine) {
+void PermitClient::recordSessionMove(const routing::EngineInfo& first, uint64_t session,
+                                     const std::string& engine) {
   v1::SessionMoved moved;
   moved.set_service(first.service);
   moved.set_session(session);
   moved.set_engine(engine == first.engine ? "" : engine);
-  const serving::InForce in_force = tables_.inForce();
+  const serving::ServingSnapshot in_force = tables_.snapshot();
   const v1::RouterEntry* owner = routing::ownerOf(*in_force.view, first.engine, first.zone);
   if (owner == nullptr) {
     return;
   }
   if (owner->name() == name_) {
-    tables_.withOwners(
-        [&](admission::OwnerTable& owners) { owners.sessionMoved(moved, clock_.monotonicMs()); });
+    tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+      permit_table.recordSessionMove(moved, clock_.monotonicMs());
+    });
     return;
   }
   v1::PeerDatagram datagram;
@@ -228,7 +230,7 @@
 }
 
 std::string PermitClient::addressOf(const std::string& router) const {
-  const serving::InForce in_force = tables_.inForce();
+  const serving::ServingSnapshot in_force = tables_.snapshot();
   for (const v1::RouterEntry& entry : in_force.view->routers()) {
     if (entry.name() == router) {
       return entry.peer_address();
@@ -271,8 +273,9 @@
   }
   case v1::PeerDatagram::kPermitRelease: {
     const v1::PermitRelease& release = datagram.permit_release();
-    tables_.withOwners(
-        [&](admission::OwnerTable& owners) { owners.release(release.permit(), release.engine()); });
+    tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+      permit_table.release(release.permit(), release.engine());
+    });
     v1::PeerDatagram ack;
     *ack.mutable_release_ack()->mutable_permit() = release.permit();
     socket_.send(addressOf(datagram.sender()), std::move(ack));
@@ -285,8 +288,8 @@
     break;
   }
   case v1::PeerDatagram::kSessionMoved:
-    tables_.withOwners([&](admission::OwnerTable& owners) {
-      owners.sessionMoved(datagram.session_moved(), clock_.monotonicMs());
+    tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+      permit_table.recordSessionMove(datagram.session_moved(), clock_.monotonicMs());
     });
     break;
   case v1::PeerDatagram::kHeldPermits:
@@ -305,8 +308,8 @@
 void PermitClient::receiveRequest(const v1::PeerDatagram& datagram) {
   v1::PermitReply reply;
   if (tables_.mayServe()) {
-    reply = tables_.withOwners([&](admission::OwnerTable& owners) {
-      return owners.request(datagram.permit_request(), clock_.monotonicMs());
+    reply = tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+      return permit_table.request(datagram.permit_request(), clock_.monotonicMs());
     });
   } else {
     *reply.mutable_permit() = datagram.permit_request().permit();
@@ -322,9 +325,9 @@
 }
 
 void PermitClient::receiveHeld(const v1::PeerDatagram& datagram) {
-  tables_.withOwners([&](admission::OwnerTable& owners) {
+  tables_.withPermitTable([&](admission::PermitTable& permit_table) {
     for (const v1::HeldPermit& held : datagram.held_permits().permits()) {
-      owners.adopt(held);
+      permit_table.adoptPermit(held);
     }
   });
   v1::PeerDatagram ack;
@@ -337,8 +340,10 @@
   if (!tables_.mayServe()) {
     return;
   }
-  const std::vector<v1::PermitReply> replies = tables_.withOwners(
-      [&](admission::OwnerTable& owners) { return owners.takeReplies(clock_.monotonicMs()); });
+  const std::vector<v1::PermitReply> replies =
+      tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+        return permit_table.takeDueReplies(clock_.monotonicMs());
+      });
   for (const v1::PermitReply& reply : replies) {
     sendReply(reply.permit().router(), reply);
   }
@@ -368,7 +373,8 @@
       continue;
     }
     if (owner->name() == name_) {
-      tables_.withOwners([&](admission::OwnerTable& owners) { owners.adopt(own.held); });
+      tables_.withPermitTable(
+          [&](admission::PermitTable& permit_table) { permit_table.adoptPermit(own.held); });
       continue;
     }
     std::vector<HeldReport>& reports = by_owner[owner->name()];
@@ -388,7 +394,7 @@
 }
 
 void PermitClient::reportHeldPermits() {
-  const serving::InForce in_force = tables_.inForce();
+  const serving::ServingSnapshot in_force = tables_.snapshot();
   const uint64_t view = in_force.view->number();
   if (tables_.reportedView() >= view) {
     return;
@@ -407,7 +413,7 @@
     unacknowledged = reports_;
   }
   if (unacknowledged.empty()) {
-    tables_.viewReported(view);
+    tables_.setReportedView(view);
     return;
   }
   for (const auto& [number, report] : unacknowledged) {
--- a/src/daemon/router/permit_client.h
+++ b/src/daemon/router/permit_client.h
@@ -53,7 +53,8 @@
   boost::asio::awaitable<PermitAnswer> acquire(PermitWish wish);
   void release(const v1::PermitId& permit);
   /// Tells the owner of the engine that the session ranks first where the session went.
-  void sessionMoved(const routing::EngineInfo& first, uint64_t session, const std::string& engine);
+  void recordSessionMove(const routing::EngineInfo& first, uint64_t session,
+                         const std::string& engine);
 
   /// Handles a datagram of another router; runs on the socket's worker.
   void receive(const v1::PeerDatagram& datagram);
--- a/src/daemon/router/request_context.h
+++ b/src/daemon/router/request_context.h
@@ -30,7 +30,7 @@
   int64_t started_ms = 0;
   int64_t deadline_ms = 0;
   std::chrono::steady_clock::time_point started;
-  serving::InForce in_force;
+  serving::ServingSnapshot in_force;
   std::vector<PassedOver> passed_over;
   /// Whether a byte of the request may have reached a back end.
   bool sent = false;
