--- a/src/daemon/router/request_handler.cc
+++ b/src/daemon/router/request_handler.cc
@@ -54,7 +54,7 @@
 
 /// @return whether the router was in a view that every router had in force; one that has just
 /// registered may not have its lease yet.
-bool isSettled(const serving::InForce& in_force, const v1::RouterEntry& router) {
+bool isSettled(const serving::ServingSnapshot& in_force, const v1::RouterEntry& router) {
   if (in_force.settled == nullptr) {
     return true;
   }
@@ -140,7 +140,7 @@
 
 bool RequestHandler::limit(const RequestContext& context, http::Problem& problem) {
   const std::lock_guard lock(limiter_mutex_);
-  const limits::LimitVerdict verdict = limiter_.enter(context.tenant, parts_.clock.monotonicMs());
+  const limits::LimitVerdict verdict = limiter_.admit(context.tenant, parts_.clock.monotonicMs());
   switch (verdict) {
   case limits::LimitVerdict::Admitted:
     return true;
@@ -170,7 +170,7 @@
   context.id = http::fieldOf(exchange.request(), "X-Request-Id").value_or(newRequestId());
   // A caller that has events of the answer knows that the request ran, whatever is refused now.
   context.sent = takesUpStream(exchange.request());
-  context.in_force = parts_.tables.inForce();
+  context.in_force = parts_.tables.snapshot();
   if (!parts_.tables.mayServe()) {
     ++parts_.stats.not_serving_total;
     http::Problem refusal =
@@ -200,7 +200,7 @@
     co_await serveService(exchange, context);
   }
   const std::lock_guard lock(limiter_mutex_);
-  limiter_.leave(context.tenant);
+  limiter_.release(context.tenant);
 }
 
 asio::awaitable<void> RequestHandler::serveChat(http::Exchange& exchange, RequestContext& context) {
@@ -302,7 +302,7 @@
 }
 
 asio::awaitable<void> RequestHandler::serveEndpoints(http::Exchange& exchange) {
-  const serving::InForce in_force = parts_.tables.inForce();
+  const serving::ServingSnapshot in_force = parts_.tables.snapshot();
   const std::string service =
       http::queryParameter(exchange.target(), "service").value_or(std::string());
   const std::string session =
@@ -354,7 +354,7 @@
 
 asio::awaitable<void> RequestHandler::serveReady(http::Exchange& exchange) {
   const bool ready = parts_.tables.mayServe() && !draining_;
-  const serving::InForce in_force = parts_.tables.inForce();
+  const serving::ServingSnapshot in_force = parts_.tables.snapshot();
   const nlohmann::json body = {{"ready", ready},
                                {"draining", draining_.load()},
                                {"revision", in_force.revision},
@@ -367,14 +367,16 @@
 }
 
 asio::awaitable<void> RequestHandler::serveMetrics(http::Exchange& exchange) {
-  const serving::InForce in_force = parts_.tables.inForce();
+  const serving::ServingSnapshot in_force = parts_.tables.snapshot();
   struct OwnerGauges {
     size_t permits = 0;
     size_t waiting = 0;
   };
-  const OwnerGauges gauges = parts_.tables.withOwners([](admission::OwnerTable& owners) {
-    return OwnerGauges{.permits = owners.permitCount(), .waiting = owners.waitingCount()};
-  });
+  const OwnerGauges gauges =
+      parts_.tables.withPermitTable([](admission::PermitTable& permit_table) {
+        return OwnerGauges{.permits = permit_table.permitCount(),
+                           .waiting = permit_table.waitingCount()};
+      });
   std::string text = parts_.stats.expose() + parts_.other_metrics();
   text += metrics::exposeGauge("revision", "revision in force", in_force.revision);
   text += metrics::exposeGauge("view", "number of the view in force", in_force.view->number());
--- a/src/daemon/router/router_role.cc
+++ b/src/daemon/router/router_role.cc
@@ -46,7 +46,7 @@
 
 routing::HoldDownOptions holdDownOf(const v1::RouterSettings& settings) {
   routing::HoldDownOptions options;
-  options.first_ms = settings.hold_down_ms();
+  options.initial_ms = settings.hold_down_ms();
   return options;
 }
 
@@ -149,7 +149,7 @@
 
 std::chrono::milliseconds RouterRole::renewPause(bool renewed) const {
   const std::chrono::milliseconds period(settings_.router().renew_period_ms());
-  const serving::InForce in_force = tables_.inForce();
+  const serving::ServingSnapshot in_force = tables_.snapshot();
   const bool news_to_report = reported_revision_ != in_force.revision ||
                               reported_view_ != in_force.view->number() || !tables_.mayServe();
   if (!news_to_report) {
@@ -162,27 +162,27 @@
   if (departed_) {
     co_return true;
   }
-  const serving::InForce before = tables_.inForce();
+  const serving::ServingSnapshot before = tables_.snapshot();
   v1::RenewRequest request;
   *request.mutable_router() = entry();
   request.set_revision_in_force(before.revision);
   const uint64_t reported_view = tables_.reportedView();
   request.set_view_in_force(reported_view);
-  const std::vector<v1::PoolLoad> loads =
-      tables_.withOwners([](admission::OwnerTable& owners) { return owners.reportLoads(); });
+  const std::vector<v1::PoolLoad> loads = tables_.withPermitTable(
+      [](admission::PermitTable& permit_table) { return permit_table.reportLoads(); });
   for (const v1::PoolLoad& load : loads) {
     *request.add_loads() = load;
   }
   const int64_t sent_ms = clock_.monotonicMs();
   auto result = co_await control_.renew(std::move(request), kRenewTimeoutMs);
-  if (isError(result) || !tables_.renewed(std::get<v1::RenewReply>(result), sent_ms)) {
+  if (isError(result) || !tables_.applyRenewal(std::get<v1::RenewReply>(result), sent_ms)) {
     ++stats_.lease_failures_total;
     co_return false;
   }
   ++stats_.lease_renewals_total;
   reported_revision_ = before.revision;
   reported_view_ = reported_view;
-  const serving::InForce after = tables_.inForce();
+  const serving::ServingSnapshot after = tables_.snapshot();
   if (after.revision != before.revision) {
     handler_.configure(*after.configuration);
     logging::write(logging::Severity::Info, "configuration_in_force",
@@ -276,7 +276,7 @@
 }
 
 bool RouterRole::handedOff() const {
-  const serving::InForce in_force = tables_.inForce();
+  const serving::ServingSnapshot in_force = tables_.snapshot();
   for (const v1::RouterEntry& router : in_force.view->routers()) {
     if (router.name() == settings_.name()) {
       return router.state() == v1::ROUTER_DRAINING &&
--- a/src/daemon/router/router_tables.cc
+++ b/src/daemon/router/router_tables.cc
@@ -7,9 +7,9 @@
 RouterTables::RouterTables(std::string name, const Clock& clock, routing::HoldDownOptions hold_down)
     : name_(std::move(name)), clock_(clock), fleet_(hold_down), present_(name_), before_(name_) {}
 
-serving::InForce RouterTables::inForce() const {
+serving::ServingSnapshot RouterTables::snapshot() const {
   const std::lock_guard lock(serving_mutex_);
-  return serving_.inForce();
+  return serving_.snapshot();
 }
 
 bool RouterTables::mayServe() const {
@@ -17,31 +17,33 @@
   return serving_.mayServe(clock_.monotonicMs());
 }
 
-bool RouterTables::renewed(const v1::RenewReply& reply, int64_t sent_ms) {
-  serving::InForce before;
-  serving::InForce after;
+bool RouterTables::applyRenewal(const v1::RenewReply& reply, int64_t sent_ms) {
+  serving::ServingSnapshot before;
+  serving::ServingSnapshot after;
   {
     const std::lock_guard lock(serving_mutex_);
-    before = serving_.inForce();
-    if (!serving_.renewed(reply, sent_ms)) {
+    before = serving_.snapshot();
+    if (!serving_.applyRenewal(reply, sent_ms)) {
       return false;
     }
-    after = serving_.inForce();
+    after = serving_.snapshot();
   }
   if (after.revision != before.revision) {
     {
       const std::lock_guard lock(fleet_mutex_);
       fleet_.configure(*after.configuration);
     }
-    withOwners([&](admission::OwnerTable& owners) { owners.configure(*after.configuration); });
+    withPermitTable([&](admission::PermitTable& permit_table) {
+      permit_table.configure(*after.configuration);
+    });
   }
   const std::vector<v1::PoolLoad> totals(reply.totals().begin(), reply.totals().end());
   const std::vector<v1::RouterKey> silent(reply.silent().begin(), reply.silent().end());
-  withOwners([&](admission::OwnerTable& owners) {
-    owners.setSilentRouters(silent);
-    owners.setTotals(totals);
+  withPermitTable([&](admission::PermitTable& permit_table) {
+    permit_table.setSilentRouters(silent);
+    permit_table.setPoolLoads(totals);
     if (after.view->number() != before.view->number()) {
-      owners.keepRouters(*after.view);
+      permit_table.reclaimPermitsNotInView(*after.view);
     }
   });
   const bool ownership_changed = after.revision != before.revision ||
@@ -58,9 +60,9 @@
   return serving_.reportedView();
 }
 
-void RouterTables::viewReported(uint64_t view) {
+void RouterTables::setReportedView(uint64_t view) {
   const std::lock_guard lock(serving_mutex_);
-  serving_.viewReported(view);
+  serving_.setReportedView(view);
 }
 
 void RouterTables::setListed(std::vector<routing::ListedRunner> listed) {
@@ -73,26 +75,26 @@
 
 void RouterTables::runnerFailed(const std::string& runner) {
   const std::lock_guard lock(fleet_mutex_);
-  fleet_.failed(runner, clock_.monotonicMs());
+  fleet_.recordFailure(runner, clock_.monotonicMs());
 }
 
 void RouterTables::runnerSucceeded(const std::string& runner) {
   const std::lock_guard lock(fleet_mutex_);
-  fleet_.succeeded(runner, clock_.monotonicMs());
+  fleet_.recordSuccess(runner, clock_.monotonicMs());
 }
 
 void RouterTables::noteBackoff(const std::string& runner, const http::ClientAnswer& answer) {
   const auto asked_ms = http::backoffAskedMs(answer);
   if (asked_ms) {
     const std::lock_guard lock(fleet_mutex_);
-    fleet_.askedForBackoff(runner, *asked_ms, clock_.monotonicMs());
+    fleet_.recordBackoffRequest(runner, *asked_ms, clock_.monotonicMs());
   }
 }
 
 void RouterTables::runnerLeaving(const std::string& runner, bool leaving) {
   {
     const std::lock_guard lock(fleet_mutex_);
-    fleet_.saidLeaving(runner, leaving);
+    fleet_.setReportedLeaving(runner, leaving);
   }
   refreshOwnership();
 }
@@ -146,7 +148,7 @@
 
 void RouterTables::refreshOwnership() {
   const std::lock_guard refresh_lock(refresh_mutex_);
-  const serving::InForce in_force = inForce();
+  const serving::ServingSnapshot in_force = snapshot();
   std::vector<routing::EngineInfo> engines;
   {
     const std::lock_guard lock(fleet_mutex_);
@@ -154,20 +156,21 @@
   }
   const bool settled = in_force.settled_view >= in_force.view->number();
   std::vector<routing::EngineInfo> owned;
-  std::vector<admission::EngineFacts> facts;
+  std::vector<admission::EngineStatus> statuses;
   for (const routing::EngineInfo& engine : engines) {
-    admission::EngineFacts fact;
-    fact.engine = engine.engine;
-    fact.service = engine.service;
-    fact.leaving = engine.leaving;
+    admission::EngineStatus status;
+    status.engine = engine.engine;
+    status.service = engine.service;
+    status.leaving = engine.leaving;
     // Until every router has this view, engines that change hands have no owner.
     const bool was_owned =
         owned_view_ != nullptr && before_.owns(owned_view_, engine.engine, engine.zone);
-    fact.owned = present_.owns(in_force.view, engine.engine, engine.zone) && (settled || was_owned);
-    if (fact.owned) {
+    status.owned =
+        present_.owns(in_force.view, engine.engine, engine.zone) && (settled || was_owned);
+    if (status.owned) {
       owned.push_back(engine);
     }
-    facts.push_back(std::move(fact));
+    statuses.push_back(std::move(status));
   }
   if (settled) {
     owned_view_ = in_force.view;
@@ -176,7 +179,7 @@
     const std::lock_guard lock(fleet_mutex_);
     owned_engines_ = std::move(owned);
   }
-  withOwners([&](admission::OwnerTable& owners) { owners.setEngines(facts); });
+  withPermitTable([&](admission::PermitTable& permit_table) { permit_table.setEngines(statuses); });
 }
 
 std::vector<routing::EngineInfo> RouterTables::ownedEngines() const {
--- a/src/daemon/router/router_tables.h
+++ b/src/daemon/router/router_tables.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "adapters/http/http_client.h"
-#include "core/admission/owner_table.h"
+#include "core/admission/permit_table.h"
 #include "core/routing/fleet_table.h"
-#include "core/routing/ownership_memo.h"
+#include "core/routing/ownership_cache.h"
 #include "core/serving/serving_state.h"
 #include "ports/clock.h"
 
@@ -33,14 +33,14 @@
 public:
   RouterTables(std::string name, const Clock& clock, routing::HoldDownOptions hold_down);
 
-  serving::InForce inForce() const;
+  serving::ServingSnapshot snapshot() const;
   bool mayServe() const;
 
   /// Takes over a renewal's answer and what follows from it.
   /// @return false when the answer was ignored.
-  bool renewed(const v1::RenewReply& reply, int64_t sent_ms);
+  bool applyRenewal(const v1::RenewReply& reply, int64_t sent_ms);
   uint64_t reportedView() const;
-  void viewReported(uint64_t view);
+  void setReportedView(uint64_t view);
 
   void setListed(std::vector<routing::ListedRunner> listed);
   void runnerFailed(const std::string& runner);
@@ -55,9 +55,9 @@
   std::vector<routing::EngineInfo> ownedEngines() const;
 
   /// Runs `use` on the owner table under its lock.
-  template <typename Use> auto withOwners(Use use) {
-    const std::lock_guard lock(owners_mutex_);
-    return use(owners_);
+  template <typename Use> auto withPermitTable(Use use) {
+    const std::lock_guard lock(permit_table_mutex_);
+    return use(permit_table_);
   }
 
   void hold(const OwnPermit& permit);
@@ -78,8 +78,8 @@
   serving::ServingState serving_;
   mutable std::mutex fleet_mutex_;
   routing::FleetTable fleet_;
-  mutable std::mutex owners_mutex_;
-  admission::OwnerTable owners_;
+  mutable std::mutex permit_table_mutex_;
+  admission::PermitTable permit_table_;
   mutable std::mutex held_mutex_;
   std::map<admission::PermitKey, OwnPermit> held_;
 
@@ -88,8 +88,8 @@
   /// View under which engines were owned last. Guarded by refresh_mutex_.
   std::shared_ptr<const v1::View> owned_view_;
   /// Under the view in force, and under `owned_view_`. Guarded by refresh_mutex_.
-  routing::OwnershipMemo present_;
-  routing::OwnershipMemo before_;
+  routing::OwnershipCache present_;
+  routing::OwnershipCache before_;
   /// Guarded by fleet_mutex_.
   std::vector<routing::EngineInfo> owned_engines_;
 };
--- a/src/daemon/runner_list_reader.cc
+++ b/src/daemon/runner_list_reader.cc
@@ -13,28 +13,28 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kConnectLimit{300};
-constexpr std::chrono::milliseconds kReadLimit{700};
-constexpr size_t kMostPageBytes = size_t{4} * 1024 * 1024;
-constexpr size_t kMostPages = 1000;
+constexpr std::chrono::milliseconds kConnectTimeout{300};
+constexpr std::chrono::milliseconds kReadTimeout{700};
+constexpr size_t kMaxPageBytes = size_t{4} * 1024 * 1024;
+constexpr size_t kMaxPages = 1000;
 /// A time that was mistyped or garbled must not leave the fleet without a list for long.
-constexpr uint32_t kMostBackoffMs = 30'000;
+constexpr uint32_t kMaxBackoffMs = 30'000;
 
 } // namespace
 
 http::awaitable<Result<RunnerPage>> RunnerListReader::readPage(std::string page) {
   http::Request request(http::Verb::get, codec_.target(page), 11);
-  const http::CallOptions options{.connect_timeout = kConnectLimit, .read_timeout = kReadLimit};
+  const http::CallOptions options{.connect_timeout = kConnectTimeout, .read_timeout = kReadTimeout};
   http::CallResult called = co_await client_.call(address_, std::move(request), options);
   if (const auto* error = std::get_if<http::CallError>(&called)) {
     co_return Error{error->message};
   }
   auto answer = std::move(std::get<std::unique_ptr<http::ClientAnswer>>(called));
-  auto body = co_await answer->readAll(kMostPageBytes);
+  auto body = co_await answer->readAll(kMaxPageBytes);
   if (const auto* error = std::get_if<http::CallError>(&body)) {
     co_return Error{error->message};
   }
-  noteBackoff(*answer);
+  recordBackoff(*answer);
   if (answer->status() != http::Status::ok) {
     co_return Error{"status " + std::to_string(static_cast<unsigned>(answer->status()))};
   }
@@ -42,18 +42,18 @@
 }
 
 /// Takes the time for which the platform wants no calls from this process.
-void RunnerListReader::noteBackoff(const http::ClientAnswer& answer) {
+void RunnerListReader::recordBackoff(const http::ClientAnswer& answer) {
   const auto asked_ms = http::backoffAskedMs(answer);
   if (!asked_ms) {
     return;
   }
   line_log::write("runner_list_backoff",
                   {{"status", static_cast<unsigned>(answer.status())}, {"asked_ms", *asked_ms}});
-  backoff_.note(std::min(*asked_ms, kMostBackoffMs), clock_.monotonicMs());
+  backoff_.extend(std::min(*asked_ms, kMaxBackoffMs), clock_.monotonicMs());
 }
 
 /// Writes a line when other entries are rejected than at the reading before.
-void RunnerListReader::noteRejected(const RejectedEntries& rejected) {
+void RunnerListReader::recordRejected(const RejectedEntries& rejected) {
   if (rejected == rejected_) {
     return;
   }
@@ -69,10 +69,10 @@
   v1::RunnerList list;
   RejectedEntries rejected;
   std::string page;
-  if (backoff_.holds(clock_.monotonicMs())) {
+  if (backoff_.isActive(clock_.monotonicMs())) {
     co_return Error{"the platform asked for no calls"};
   }
-  for (size_t pages = 1; pages <= kMostPages; ++pages) {
+  for (size_t pages = 1; pages <= kMaxPages; ++pages) {
     Result<RunnerPage> read = co_await readPage(page);
     if (isError(read)) {
       co_return errorOf(read);
@@ -84,7 +84,7 @@
     if (page.empty()) {
       pages_ = pages;
       rejected.duplicate += relay::dropDuplicates(list);
-      noteRejected(rejected);
+      recordRejected(rejected);
       co_return list;
     }
   }
--- a/src/daemon/runner_list_reader.h
+++ b/src/daemon/runner_list_reader.h
@@ -35,8 +35,8 @@
 
 private:
   http::awaitable<Result<RunnerPage>> readPage(std::string page);
-  void noteBackoff(const http::ClientAnswer& answer);
-  void noteRejected(const RejectedEntries& rejected);
+  void recordBackoff(const http::ClientAnswer& answer);
+  void recordRejected(const RejectedEntries& rejected);
 
   http::Client client_;
   const Clock& clock_;
--- a/src/daemon/server_limits.h
+++ b/src/daemon/server_limits.h
@@ -14,10 +14,10 @@
 /// Limits for operators: a whole configuration in one request, sent from anywhere.
 inline http::ServerLimits operatorLimits() {
   constexpr uint64_t kBodyBytes = uint64_t{16} * 1024 * 1024;
-  constexpr std::chrono::milliseconds kReadLimit{10'000};
+  constexpr std::chrono::milliseconds kReadTimeout{10'000};
   http::ServerLimits limits;
   limits.body_bytes = kBodyBytes;
-  limits.read_timeout = kReadLimit;
+  limits.read_timeout = kReadTimeout;
   return limits;
 }
 
--- a/src/ports/configuration_codec.h
+++ b/src/ports/configuration_codec.h
@@ -15,7 +15,7 @@
   virtual ~ConfigurationCodec() = default;
 
   /// @return the configuration, or an error that names the field at fault. The meaning (names that
-  /// are not declared, weights) is not checked here; see relay::findFault.
+  /// are not declared, weights) is not checked here; see relay::findConfigurationError.
   virtual Result<relay::Configuration> decode(std::string_view document) const = 0;
 };
 
--- a/src/ports/relay_dialect.h
+++ b/src/ports/relay_dialect.h
@@ -29,7 +29,7 @@
   /// Urgency at a model engine, 0 the most urgent.
   std::string priority;
   /// Parts of the prompt.
-  std::string prompt_parts;
+  std::string prefix_blocks;
   /// Marks the answer of a runner that did not run the request.
   std::string not_run;
   /// Marks the answer of a runner; a success counts only with it.
@@ -69,7 +69,7 @@
 };
 
 /// What the operator wants of a rollout that begins.
-struct RolloutWish {
+struct RolloutRequest {
   std::string service;
   std::string target_version;
   /// Until its deadline, milliseconds; not zero.
@@ -80,13 +80,13 @@
 enum class RolloutState { Running, Succeeded, RolledBack };
 
 /// A part of a prompt, in order; the last belongs to the request or its session.
-struct PromptPart {
+struct PrefixBlock {
   std::string id;
   uint64_t tokens = 0;
 };
 
 /// The head of a runner's answer.
-struct AnswerHead {
+struct ResponseHead {
   unsigned status = 0;
   /// @return the value of the header with this name; nothing: it has none.
   std::function<std::optional<std::string>(std::string_view name)> field;
@@ -100,18 +100,18 @@
   virtual const HeaderNames& headers() const = 0;
   virtual const CallPaths& paths() const = 0;
   /// @return the call that a path stands for; nothing: the path is of another call.
-  virtual std::optional<EvacuationCall> evacuationCall(std::string_view path) const = 0;
-  virtual std::optional<RolloutCall> rolloutCall(std::string_view path) const = 0;
+  virtual std::optional<EvacuationCall> parseEvacuationCall(std::string_view path) const = 0;
+  virtual std::optional<RolloutCall> parseRolloutCall(std::string_view path) const = 0;
   /// @return what the body of a call that begins a rollout says, or what is wrong with it.
-  virtual Result<RolloutWish> rolloutWish(std::string_view body) const = 0;
+  virtual Result<RolloutRequest> parseRolloutRequest(std::string_view body) const = 0;
   /// @return the body of the answer to how far a rollout is.
-  virtual std::string rolloutAnswer(RolloutState state,
-                                    const std::string& target_version) const = 0;
+  virtual std::string rolloutStatusBody(RolloutState state,
+                                        const std::string& target_version) const = 0;
   /// @return the parts, or nothing when the value can't be read.
-  virtual std::vector<PromptPart> promptParts(std::string_view value) const = 0;
+  virtual std::vector<PrefixBlock> parsePrefixBlocks(std::string_view value) const = 0;
   /// @return what an answer says of its runner; of an answer of another runner than the one that
   /// was meant, nothing.
-  virtual relay::RunnerNotice runnerNotice(const AnswerHead& head) const = 0;
+  virtual relay::RunnerNotice parseRunnerNotice(const ResponseHead& head) const = 0;
   /// Body of the answer that tells a caller where to go.
   virtual std::string addresses(const std::vector<std::string>& addresses,
                                 uint32_t ttl_s) const = 0;
--- a/tests/unit/core/admission/owner_table_test.cc
+++ b/tests/unit/core/admission/permit_table_test.cc
@@ -2,7 +2,7 @@
 /// Admission: the cap, permits that are asked for twice, fairness, and changes of owners.
 #include <doctest/doctest.h>
 
-#include "core/admission/owner_table.h"
+#include "core/admission/permit_table.h"
 
 namespace workshatch::test {
 
@@ -23,8 +23,8 @@
 }
 
 /// A table that owns one engine of two, with an engine limit of `limit`.
-admission::OwnerTable tableOf(uint64_t limit, bool owned = true) {
-  admission::OwnerTable table;
+admission::PermitTable tableOf(uint64_t limit, bool owned = true) {
+  admission::PermitTable table;
   v1::Configuration configuration;
   v1::Service* service = configuration.add_services();
   service->set_name("pool");
@@ -41,21 +41,21 @@
   return table;
 }
 
-void setTotal(admission::OwnerTable& table, uint64_t total) {
+void setTotal(admission::PermitTable& table, uint64_t total) {
   v1::PoolLoad load;
   load.set_service("pool");
   load.set_load(total);
-  table.setTotals({load});
+  table.setPoolLoads({load});
 }
 
-void setOthers(admission::OwnerTable& table, uint64_t total) {
+void setOthers(admission::PermitTable& table, uint64_t total) {
   for (int i = 0; i < 3; ++i) {
     setTotal(table, total);
   }
 }
 
 /// Asks for permits until one is refused. @return how many were granted.
-uint64_t fill(admission::OwnerTable& table, uint64_t first_sequence) {
+uint64_t fill(admission::PermitTable& table, uint64_t first_sequence) {
   uint64_t sequence = first_sequence;
   while (table.request(requestOf(sequence), 0).verdict() == v1::PERMIT_GRANTED) {
     ++sequence;
@@ -64,18 +64,18 @@
 }
 
 /// The owner reports its load and gets sums with `others` beside it.
-void exchangeSums(admission::OwnerTable& table, uint64_t others) {
+void exchangeTotals(admission::PermitTable& table, uint64_t others) {
   const auto loads = table.reportLoads();
   setTotal(table, others + (loads.empty() ? 0 : loads.front().load()));
 }
 
 /// Fills the engine, with new sums whenever it is full for now. @return the load in the end.
-uint64_t fillOverSums(admission::OwnerTable& table, uint64_t others) {
+uint64_t fillOverTotals(admission::PermitTable& table, uint64_t others) {
   constexpr int kRounds = 10;
   uint64_t held = 0;
   for (int round = 0; round < kRounds; ++round) {
     held += fill(table, held + 1);
-    exchangeSums(table, others);
+    exchangeTotals(table, others);
   }
   return held;
 }
@@ -83,7 +83,7 @@
 } // namespace
 
 TEST_CASE("an idle engine takes one request, and more only as the pool's mean allows") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   // The pool's load is 1; with the request the mean is 1 and the cap 2.
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_GRANTED);
@@ -93,7 +93,7 @@
 }
 
 TEST_CASE("a permit asked for twice is given once, and its release frees the engine") {
-  admission::OwnerTable table = tableOf(1);
+  admission::PermitTable table = tableOf(1);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   CHECK(table.loadOf("m/0") == 1);
@@ -105,7 +105,7 @@
 }
 
 TEST_CASE("waiters of two tenants take turns, and none waits beyond its time") {
-  admission::OwnerTable table = tableOf(1);
+  admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   for (uint64_t sequence = 2; sequence <= 4; ++sequence) {
     CHECK(table.request(requestOf(sequence, "a", 100), 0).verdict() == v1::PERMIT_QUEUED);
@@ -115,20 +115,20 @@
   uint64_t holder = 1;
   for (int i = 0; i < 2; ++i) {
     table.release(requestOf(holder).permit(), "m/0");
-    const auto replies = table.takeReplies(10);
+    const auto replies = table.takeDueReplies(10);
     REQUIRE(replies.size() == 1);
     holder = replies[0].permit().sequence();
     order.push_back(holder);
   }
   CHECK((order[0] == 5 || order[1] == 5));
-  const auto expired = table.takeReplies(200);
+  const auto expired = table.takeDueReplies(200);
   CHECK(expired.size() == 2);
   CHECK(expired[0].verdict() == v1::PERMIT_FULL);
   CHECK(table.waitingCount() == 0);
 }
 
 TEST_CASE("one tenant fills at most half of a queue") {
-  admission::OwnerTable table = tableOf(1);
+  admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   for (uint64_t sequence = 2; sequence <= 5; ++sequence) {
     CHECK(table.request(requestOf(sequence, "a", 100), 0).verdict() == v1::PERMIT_QUEUED);
@@ -138,7 +138,7 @@
 }
 
 TEST_CASE("leaving engines, engines of others and unknown ones give no permit") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   v1::PermitRequest other = requestOf(1);
   other.set_engine("m/1");
   CHECK(table.request(other, 0).verdict() == v1::PERMIT_NOT_OWNER);
@@ -149,7 +149,7 @@
 }
 
 TEST_CASE("load left on an engine that is leaving does not raise the cap of the others") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 10);
   for (uint64_t sequence = 1; sequence <= 4; ++sequence) {
     CHECK(table.request(requestOf(sequence), 0).verdict() == v1::PERMIT_GRANTED);
@@ -163,14 +163,14 @@
 }
 
 TEST_CASE("a new owner counts the permits that holders report") {
-  admission::OwnerTable table = tableOf(2, false);
+  admission::PermitTable table = tableOf(2, false);
   v1::HeldPermit held;
   *held.mutable_permit() = requestOf(1).permit();
   held.set_engine("m/0");
   held.set_service("pool");
   held.set_cost(1);
-  table.adopt(held);
-  table.adopt(held);
+  table.adoptPermit(held);
+  table.adoptPermit(held);
   CHECK(table.loadOf("m/0") == 1);
   table.setEngines({{.engine = "m/0", .service = "pool", .owned = true}});
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_GRANTED);
@@ -181,21 +181,21 @@
 }
 
 TEST_CASE("permits of a router that left the view are reclaimed") {
-  admission::OwnerTable table = tableOf(1);
+  admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   v1::View view;
   view.add_routers()->set_name("r");
   view.mutable_routers(0)->set_incarnation(2);
-  table.keepRouters(view);
+  table.reclaimPermitsNotInView(view);
   CHECK(table.loadOf("m/0") == 0);
 }
 
 TEST_CASE("a session that was moved is sent to the engine that holds its cache") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   v1::SessionMoved moved;
   moved.set_session(42);
   moved.set_engine("m/1");
-  table.sessionMoved(moved, 0);
+  table.recordSessionMove(moved, 0);
   v1::PermitRequest request = requestOf(1);
   request.set_session(42);
   const v1::PermitReply reply = table.request(request, 10);
@@ -206,7 +206,7 @@
 }
 
 TEST_CASE("while the other owners' load falls, the fall is taken to go on") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 100);
   setTotal(table, 60);
   // Others hold 20 by now: the engine may hold x <= ceil(1.15 * (20 + x) / 2), half of it at once.
@@ -214,9 +214,9 @@
 }
 
 TEST_CASE("own load that ended since it was reported is not taken for the other owners'") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
-  const uint64_t held = fillOverSums(table, 20);
+  const uint64_t held = fillOverTotals(table, 20);
   REQUIRE(held == 29);
   CHECK(table.reportLoads().at(0).load() == held);
   for (uint64_t sequence = 1; sequence <= held; ++sequence) {
@@ -228,19 +228,19 @@
 }
 
 TEST_CASE("an idle engine of a busy fleet is filled in steps, with new sums between") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
   CHECK(fill(table, 1) == 8);
   CHECK(fill(table, 100) == 0);
-  exchangeSums(table, 20);
+  exchangeTotals(table, 20);
   CHECK(fill(table, 200) > 0);
   // The others' load is gone by the next sums: nothing more is admitted.
-  exchangeSums(table, 0);
+  exchangeTotals(table, 0);
   CHECK(fill(table, 300) == 0);
 }
 
 TEST_CASE("permits of a silent router hold their places and count in no sum") {
-  admission::OwnerTable table = tableOf(0);
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
   CHECK(fill(table, 1) == 8);
   v1::RouterKey router;
--- a/tests/unit/core/control/ledger_test.cc
+++ b/tests/unit/core/control/ledger_test.cc
@@ -68,7 +68,7 @@
 TEST_CASE("an entry whose router is gone is unknown for good") {
   control::Ledger ledger;
   ledger.begin(beginOf("k", 1), 0);
-  ledger.abandon("entry-1", 7);
+  ledger.markUnknown("entry-1", 7);
   CHECK(ledger.begin(beginOf("k", 2), 0).outcome() == v1::LEDGER_OUTCOME_UNKNOWN);
   CHECK(ledger.finish(finishOf("k", 1, "late")).outcome() == v1::LEDGER_OUTCOME_UNKNOWN);
   CHECK(ledger.abort(abortOf("k", 1)).outcome() == v1::LEDGER_DONE);
@@ -89,7 +89,7 @@
   ledger.begin(beginOf("old", 1), 100);
   ledger.finish(finishOf("old", 1, "answer"));
   ledger.begin(beginOf("open", 1), 200);
-  ledger.forgetBefore(1000);
+  ledger.removeBefore(1000);
   CHECK(ledger.size() == 1);
   CHECK(ledger.begin(beginOf("open", 2), 1000).outcome() == v1::LEDGER_IN_PROGRESS);
 }
--- a/tests/unit/core/raft/raft_replication_test.cc
+++ b/tests/unit/core/raft/raft_replication_test.cc
@@ -102,7 +102,7 @@
   raft::RaftOptions options;
   options.first_election_ticks = 4;
   SUBCASE("no lease counts") {
-    options.hold_votes_after_restart = false;
+    options.withhold_votes_after_restart = false;
     ThreeNodes group(options);
     group.elect();
     CHECK(group.ticks() <= 4);
@@ -117,7 +117,7 @@
 TEST_CASE("a replica that restarts beside a living leader does not unseat it") {
   raft::RaftOptions options;
   options.first_election_ticks = 4;
-  options.hold_votes_after_restart = false;
+  options.withhold_votes_after_restart = false;
   ThreeNodes group(options);
   raft::RaftNode& leader = group.elect();
   const uint64_t term = leader.term();
--- a/tests/unit/core/raft/simulated_group.cc
+++ b/tests/unit/core/raft/simulated_group.cc
@@ -10,7 +10,7 @@
 
 constexpr uint64_t kFirstIndex = 1;
 constexpr uint64_t kCompactAbove = 40;
-constexpr int64_t kMostDelayMs = 120;
+constexpr int64_t kMaxDelayMs = 120;
 
 v1::RaftEntry baseOf(uint64_t index, uint64_t term) {
   v1::RaftEntry base;
@@ -21,10 +21,10 @@
 
 } // namespace
 
-void SimulatedDisk::write(const raft::RaftReady& ready, size_t most_records) {
+void SimulatedDisk::write(const raft::RaftReady& ready, size_t max_records) {
   if (ready.snapshot) {
     // Replaced by renaming a whole file: all or nothing.
-    if (most_records == 0) {
+    if (max_records == 0) {
       return;
     }
     if (ready.hard_state) {
@@ -36,16 +36,16 @@
     return;
   }
   size_t written = 0;
-  if (ready.hard_state && written++ < most_records) {
+  if (ready.hard_state && written++ < max_records) {
     hard_state = *ready.hard_state;
   }
-  if (ready.truncate_from != 0 && written++ < most_records) {
+  if (ready.truncate_from != 0 && written++ < max_records) {
     while (entries.size() > 1 && entries.back().index() >= ready.truncate_from) {
       entries.pop_back();
     }
   }
   for (const v1::RaftEntry& entry : ready.entries) {
-    if (written++ < most_records) {
+    if (written++ < max_records) {
       entries.push_back(entry);
     }
   }
@@ -85,7 +85,7 @@
   raft::RaftOptions options;
   options.election_ticks = kElectionTicks;
   options.trailing_entries = 5;
-  options.hold_votes_after_restart = leases_;
+  options.withhold_votes_after_restart = leases_;
   options.first_election_ticks = leases_ ? 0 : kFirstElectionTicks;
   replica.node =
       std::make_unique<raft::RaftNode>(replica.id, options, random_, replica.disk.recover());
@@ -94,7 +94,7 @@
     fail("snapshot cannot be read");
   }
   replica.applied = replica.disk.snapshot.index();
-  replica.duties.reset();
+  replica.router_manager.reset();
   replica.up = true;
   replica.frozen = false;
   replica.missed_ticks = 0;
@@ -171,15 +171,15 @@
     }
   }
   if (!replica.node->isLeader()) {
-    replica.duties.reset();
-  } else if (!replica.duties || replica.duties_term != replica.node->term()) {
-    replica.duties_term = replica.node->term();
-    replica.duties.emplace(control::LeaseOptions{.lease_ms = kLeaseMs});
+    replica.router_manager.reset();
+  } else if (!replica.router_manager || replica.router_manager_term != replica.node->term()) {
+    replica.router_manager_term = replica.node->term();
+    replica.router_manager.emplace(control::LeaseOptions{.lease_ms = kLeaseMs});
   }
   if (replica.applied > replica.node->log().snapshot().index() + kCompactAbove) {
     replica.node->compact(replica.applied, replica.state.save());
     replica.disk.snapshot = replica.node->log().snapshot();
-    replica.disk.entries = replica.node->log().withBase();
+    replica.disk.entries = replica.node->log().entriesWithBase();
   }
 }
 
@@ -208,7 +208,7 @@
   }
   const size_t copies = chance(rates_.repeat) ? 2 : 1;
   for (size_t i = 0; i < copies; ++i) {
-    const auto delay = static_cast<int64_t>(random_.below(kMostDelayMs));
+    const auto delay = static_cast<int64_t>(random_.below(kMaxDelayMs));
     flights_.push_back(Flight{.at_ms = now_ms_ + delay, .message = message});
   }
 }
@@ -247,8 +247,8 @@
     replica.node->tick();
   }
   processReady(replica);
-  if (replica.duties && replica.node->committedInTerm()) {
-    if (auto drop = replica.duties->dropExpired(replica.state, now_ms_)) {
+  if (replica.router_manager && replica.node->committedInTerm()) {
+    if (auto drop = replica.router_manager->dropExpired(replica.state, now_ms_)) {
       propose(replica, *drop);
     }
   }
--- a/tests/unit/core/raft/simulated_group.h
+++ b/tests/unit/core/raft/simulated_group.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "core/control/leader_duties.h"
 #include "core/control/replicated_state.h"
+#include "core/control/router_manager.h"
 #include "core/raft/raft_node.h"
 #include "ports/seeded_random.h"
 
@@ -31,7 +31,7 @@
   /// Base entry first.
   std::vector<v1::RaftEntry> entries;
 
-  void write(const raft::RaftReady& ready, size_t most_records);
+  void write(const raft::RaftReady& ready, size_t max_records);
   raft::RaftRecovery recover() const;
 };
 
@@ -40,8 +40,8 @@
   SimulatedDisk disk;
   std::unique_ptr<raft::RaftNode> node;
   control::ReplicatedState state;
-  std::optional<control::LeaderDuties> duties;
-  uint64_t duties_term = 0;
+  std::optional<control::RouterManager> router_manager;
+  uint64_t router_manager_term = 0;
   uint64_t applied = 0;
   bool up = true;
   bool frozen = false;
--- a/tests/unit/core/relay/cold_runners_test.cc
+++ b/tests/unit/core/relay/cold_runners_test.cc
@@ -9,15 +9,15 @@
 #include <doctest/doctest.h>
 
 #include "core/relay/cold_runners.h"
-#include "core/relay/place_owner.h"
 #include "core/relay/runner_table.h"
+#include "core/relay/slot_owner.h"
 
 namespace workshatch::test {
 
 namespace {
 
 /// A cold runner here bears 9.6 requests a second; no second may bring it more than 19.4.
-constexpr double kBornePerS = 9.6;
+constexpr double kSustainablePerS = 9.6;
 constexpr double kFactor = 1.5;
 constexpr double kSlack = 5;
 constexpr size_t kMostInASecond = 19;
@@ -26,13 +26,13 @@
 
 relay::Service engines() {
   return relay::Service{
-      .name = "s", .model_engine = true, .cold_s = 3, .cold_requests_per_s = kBornePerS};
+      .name = "s", .model_engine = true, .cold_s = 3, .cold_requests_per_s = kSustainablePerS};
 }
 
 relay::OwnedRunner coldRunner(uint32_t cold_ms) {
   return relay::OwnedRunner{.listed = true,
                             .cold_ms = cold_ms,
-                            .cold_pace = relay::paceLimit(kBornePerS, kFactor, kSlack)};
+                            .cold_pace = relay::rateLimitFor(kSustainablePerS, kFactor, kSlack)};
 }
 
 /// Counts what reaches one runner in any second.
@@ -59,7 +59,7 @@
 class Crowd {
 public:
   /// One request at this moment, asked of `owner`. @return whether it got a place.
-  bool ask(relay::PlaceOwner& owner, const relay::OwnedRunner& runner, int64_t now_ms) {
+  bool ask(relay::SlotOwner& owner, const relay::OwnedRunner& runner, int64_t now_ms) {
     v1::PlaceClaim claim;
     claim.mutable_use()->set_runner(kRunner);
     claim.mutable_use()->set_sequence(++sequence_);
@@ -112,7 +112,7 @@
 
 TEST_CASE(
     "A cold runner wanted by all gets what it bears, and never more than a second may bring") {
-  relay::PlaceOwner owner;
+  relay::SlotOwner owner;
   Crowd crowd;
   for (int64_t now = 0; now < 6000; now += kBetweenAsksMs) {
     crowd.ask(owner, coldRunner(3000), now);
@@ -123,7 +123,7 @@
 }
 
 TEST_CASE("A runner that is cold no longer gets all that is asked") {
-  relay::PlaceOwner owner;
+  relay::SlotOwner owner;
   Crowd crowd;
   CHECK_FALSE(crowd.ask(owner, coldRunner(3000), 0));
   for (int64_t now = 3001; now < 4001; now += kBetweenAsksMs) {
@@ -132,13 +132,13 @@
 }
 
 TEST_CASE("The bound holds when the owner dies and another takes over") {
-  relay::PlaceOwner first;
-  relay::PlaceOwner second;
+  relay::SlotOwner first;
+  relay::SlotOwner second;
   Crowd crowd;
   for (int64_t now = 0; now < 3000; now += kBetweenAsksMs) {
     crowd.ask(first, coldRunner(3000), now);
   }
-  second.noteOwnersChanged(3000);
+  second.recordOwnersChanged(3000);
   for (int64_t now = 3000; now < 6000; now += kBetweenAsksMs) {
     crowd.ask(second, coldRunner(3000), now);
   }
@@ -146,14 +146,14 @@
 }
 
 TEST_CASE("The bound holds while relays with different lists ask two owners") {
-  relay::PlaceOwner leaving;
-  relay::PlaceOwner coming;
+  relay::SlotOwner leaving;
+  relay::SlotOwner coming;
   Crowd crowd;
   int64_t now = 0;
   for (; now < 4000; now += kBetweenAsksMs) {
     crowd.ask(leaving, coldRunner(3000), now);
   }
-  coming.noteOwnersChanged(now);
+  coming.recordOwnersChanged(now);
   for (const int64_t until = now + 1900; now < until; now += kBetweenAsksMs) {
     crowd.ask(leaving, coldRunner(3000), now);
     crowd.ask(coming, coldRunner(3000), now);
@@ -165,7 +165,7 @@
 }
 
 TEST_CASE("An owner that does not know a runner to be cold learns it from a claim") {
-  relay::PlaceOwner owner;
+  relay::SlotOwner owner;
   v1::PlaceClaim claim;
   claim.mutable_use()->set_runner(kRunner);
   claim.mutable_use()->set_sequence(1);
@@ -180,7 +180,7 @@
 }
 
 TEST_CASE("An owner gives no place at a runner of an evacuated zone") {
-  relay::PlaceOwner owner;
+  relay::SlotOwner owner;
   v1::PlaceClaim claim;
   claim.mutable_use()->set_runner(kRunner);
   claim.set_limit(64);
@@ -195,7 +195,7 @@
   for (const double borne : {0.5, 2.0, 9.6, 40.0}) {
     for (const double factor : {1.0, 1.5, 3.0}) {
       for (const double slack : {0.0, 1.0, 5.0, 50.0}) {
-        const relay::PaceLimit limit = relay::paceLimit(borne, factor, slack);
+        const relay::RateLimit limit = relay::rateLimitFor(borne, factor, slack);
         CHECK(limit.per_s <= borne);
         CHECK(limit.per_s > 0);
         const double most = borne * factor + slack;
@@ -252,7 +252,7 @@
   table.setEvacuations(evacuations, 2000);
   CHECK(std::holds_alternative<relay::NoRunner>(table.choose(request)));
   relay::RunnerRequest resumed = request;
-  resumed.past_limits = true;
+  resumed.ignores_limits = true;
   CHECK(std::holds_alternative<relay::NoRunner>(table.choose(resumed)));
   // One that comes into the list meanwhile is evacuated as well.
   table.setList(listOf({"old", "new"}, 2), 2500);
@@ -278,13 +278,13 @@
   for (const uint32_t load : {9, 9, 0}) {
     sums.add_in_progress(load);
   }
-  table.setSums(sums, v1::RunnerLoads(), 2000);
+  table.setLoadTotals(sums, v1::RunnerLoads(), 2000);
   v1::EvacuationList evacuations;
   evacuations.set_version(5);
   evacuations.add_zones()->set_zone("south");
   table.setEvacuations(evacuations, 2000);
   const auto chosen = table.choose(relay::RunnerRequest{
-      .service = "s", .cache_key = 5, .now_ms = 2000, .engine = true, .asks_owners = true});
+      .service = "s", .cache_key = 5, .now_ms = 2000, .engine = true, .uses_slot_owners = true});
   REQUIRE(std::holds_alternative<relay::RunnerChoice>(chosen));
   // Twice the mean of 6, and 3: not twice the mean of 9.
   CHECK(std::get<relay::RunnerChoice>(chosen).limit == 15);
@@ -294,8 +294,8 @@
   relay::RunnerTable table = tableOfEngines();
   table.setList(listOf({"old", "new"}, 2), 5000);
   for (uint64_t draw = 0; draw < 20; ++draw) {
-    const auto chosen = table.choose(
-        relay::RunnerRequest{.service = "s", .now_ms = 5000, .standing = {.draw = draw}});
+    const auto chosen =
+        table.choose(relay::RunnerRequest{.service = "s", .now_ms = 5000, .rank = {.draw = draw}});
     REQUIRE(std::holds_alternative<relay::RunnerChoice>(chosen));
     CHECK(std::get<relay::RunnerChoice>(chosen).runner->entry.id() == "old");
   }
--- a/tests/unit/core/relay/group_state_test.cc
+++ b/tests/unit/core/relay/group_state_test.cc
@@ -56,9 +56,9 @@
   CHECK(state.apply(rolloutOrder("a", "v9"), 5) == Change::Rollouts);
   REQUIRE(state.rollouts().rollouts_size() == 2);
   CHECK(state.rollouts().rollouts(0).service() == "a");
-  CHECK(relay::rolloutOf(state.rollouts(), "s")->target_version() == "v2");
-  CHECK(relay::rolloutOf(state.rollouts(), "s")->phase() == v1::ROLLOUT_CANARY);
-  CHECK(relay::rolloutOf(state.rollouts(), "nowhere") == nullptr);
+  CHECK(relay::findRollout(state.rollouts(), "s")->target_version() == "v2");
+  CHECK(relay::findRollout(state.rollouts(), "s")->phase() == v1::ROLLOUT_CANARY);
+  CHECK(relay::findRollout(state.rollouts(), "nowhere") == nullptr);
   // Nothing succeeds that was not promoted; a verdict about another rollout changes nothing.
   CHECK(state.apply(verdict("s", 3, v1::ROLLOUT_SUCCEEDED), 6) == Change::None);
   CHECK(state.apply(verdict("s", 2, v1::ROLLOUT_PROMOTING), 7) == Change::None);
@@ -68,9 +68,9 @@
   CHECK(state.rollouts().version() == 9);
   relay::GroupState restored;
   CHECK(restored.restore(state.save()));
-  CHECK(relay::rolloutOf(restored.rollouts(), "s")->phase() == v1::ROLLOUT_SUCCEEDED);
+  CHECK(relay::findRollout(restored.rollouts(), "s")->phase() == v1::ROLLOUT_SUCCEEDED);
   CHECK(restored.apply(rolloutOrder("s", "v3"), 11) == Change::Rollouts);
-  CHECK(relay::rolloutOf(restored.rollouts(), "s")->id() == 11);
+  CHECK(relay::findRollout(restored.rollouts(), "s")->id() == 11);
 }
 
 TEST_CASE("A request is in quarantine from the order that puts it there to the one that ends it") {
@@ -89,7 +89,7 @@
 
 TEST_CASE("The oldest request leaves a full quarantine") {
   relay::GroupState state;
-  const size_t most = relay::GroupState::kMostQuarantined;
+  const size_t most = relay::GroupState::kMaxQuarantined;
   for (uint64_t content = 0; content <= most; ++content) {
     CHECK(state.apply(quarantineOrder(content, true), content + 1) == Change::Quarantine);
   }
@@ -101,10 +101,11 @@
   relay::GroupState state;
   CHECK(state.apply(orderFor("south", true), 3) == Change::Evacuations);
   CHECK(state.apply(orderFor("north", true), 4) == Change::Evacuations);
-  CHECK(relay::zoneNames(state.evacuations()) == std::vector<std::string>{"north", "south"});
+  CHECK(relay::evacuatedZoneNames(state.evacuations()) ==
+        std::vector<std::string>{"north", "south"});
   CHECK(state.evacuations().zones(0).since_ms() == 77);
   CHECK(state.apply(orderFor("south", false), 5) == Change::Evacuations);
-  CHECK(relay::zoneNames(state.evacuations()) == std::vector<std::string>{"north"});
+  CHECK(relay::evacuatedZoneNames(state.evacuations()) == std::vector<std::string>{"north"});
   CHECK(state.evacuations().version() == 5);
 }
 
@@ -126,7 +127,7 @@
   CHECK(restored.restore(state.save()));
   CHECK(restored.configuration().version() == 9);
   CHECK(restored.evacuations().version() == 3);
-  CHECK(relay::zoneNames(restored.evacuations()) == std::vector<std::string>{"north"});
+  CHECK(relay::evacuatedZoneNames(restored.evacuations()) == std::vector<std::string>{"north"});
 }
 
 TEST_CASE("A snapshot of a program that knew no evacuations is taken") {
--- a/tests/unit/core/relay/home_regions_test.cc
+++ b/tests/unit/core/relay/home_regions_test.cc
@@ -42,7 +42,7 @@
                                                           .cache_key = cache_key * (draw + 1),
                                                           .now_ms = 1000,
                                                           .home_regions = homes,
-                                                          .standing = {.draw = draw * kSpread}});
+                                                          .rank = {.draw = draw * kSpread}});
     if (const auto* choice = std::get_if<relay::RunnerChoice>(&chosen)) {
       runners.insert(choice->runner->entry.id());
     }
--- a/tests/unit/core/relay/large_list_test.cc
+++ b/tests/unit/core/relay/large_list_test.cc
@@ -84,12 +84,12 @@
   history.add(first);
   relay::RunnerTable table(relay::RunnerTableOptions{});
   REQUIRE_FALSE(isError(table.applyUpdate(history.updateFrom(0), 0)));
-  CHECK(table.entriesTaken() == kRunners);
+  CHECK(table.entriesApplied() == kRunners);
   history.add(changedList(first, random, 20, next_number));
   const auto& update = history.updateFrom(1);
   CHECK(update.ByteSizeLong() < 2000);
   REQUIRE_FALSE(isError(table.applyUpdate(update, 1000)));
-  CHECK(table.entriesTaken() <= kRunners + 20);
+  CHECK(table.entriesApplied() <= kRunners + 20);
 }
 
 TEST_CASE("A table after many updates is that of the whole list") {
--- a/tests/unit/core/relay/led_runner_list_test.cc
+++ b/tests/unit/core/relay/leader_runner_list_test.cc
@@ -4,7 +4,7 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/led_runner_list.h"
+#include "core/relay/leader_runner_list.h"
 #include "core/relay/runner_entry.h"
 #include "core/relay/runner_list_history.h"
 
@@ -24,27 +24,27 @@
 
 TEST_CASE("A list that was read long before the leadership is not told") {
   relay::LeaderVersions versions;
-  relay::LedRunnerList led;
+  relay::LeaderRunnerList led;
   // Read at the start, when the platform listed no runner yet.
-  led.readWithoutLeader(listOf(0), 1000);
+  led.updateWithoutLeader(listOf(0), 1000);
   versions.begin(3);
   led.begin(versions, 9000);
   CHECK(led.list().version() == 0);
-  CHECK(led.readWhileLeading(listOf(2), versions) == relay::ListNews::Runners);
+  CHECK(led.updateAsLeader(listOf(2), versions) == relay::ListChange::Runners);
   CHECK(led.list().runners_size() == 2);
 }
 
 TEST_CASE("A list that was read just before the leadership is told at once") {
   relay::LeaderVersions versions;
-  relay::LedRunnerList led;
-  led.readWithoutLeader(listOf(3), 1000);
+  relay::LeaderRunnerList led;
+  led.updateWithoutLeader(listOf(3), 1000);
   versions.begin(3);
   led.begin(versions, 1500);
   CHECK(led.list().version() != 0);
   CHECK(led.list().runners_size() == 3);
-  CHECK(led.readWhileLeading(listOf(3), versions) == relay::ListNews::None);
+  CHECK(led.updateAsLeader(listOf(3), versions) == relay::ListChange::None);
   const uint64_t before = led.list().version();
-  CHECK(led.readWhileLeading(listOf(2), versions) == relay::ListNews::Runners);
+  CHECK(led.updateAsLeader(listOf(2), versions) == relay::ListChange::Runners);
   CHECK(led.list().version() > before);
   versions.begin(4);
   led.begin(versions, 2000);
@@ -54,22 +54,22 @@
 TEST_CASE("That runners become less cold is no news; that one turns cold is") {
   relay::LeaderVersions versions;
   versions.begin(3);
-  relay::LedRunnerList led;
+  relay::LeaderRunnerList led;
   led.begin(versions, 9000);
   const auto read = [&](uint32_t cold_ms) {
     v1::RunnerList list = listOf(2);
     list.mutable_runners(0)->set_cold_ms(cold_ms);
-    return led.readWhileLeading(std::move(list), versions);
+    return led.updateAsLeader(std::move(list), versions);
   };
-  CHECK(read(0) == relay::ListNews::Runners);
-  CHECK(read(3000) == relay::ListNews::Runners);
+  CHECK(read(0) == relay::ListChange::Runners);
+  CHECK(read(3000) == relay::ListChange::Runners);
   const uint64_t version = led.list().version();
-  CHECK(read(2000) == relay::ListNews::ColdTimesFell);
-  CHECK(read(0) == relay::ListNews::ColdTimesFell);
-  CHECK(read(0) == relay::ListNews::None);
+  CHECK(read(2000) == relay::ListChange::ColdTimesReduced);
+  CHECK(read(0) == relay::ListChange::ColdTimesReduced);
+  CHECK(read(0) == relay::ListChange::None);
   CHECK(led.list().version() == version);
   CHECK(led.list().runners(0).cold_ms() == 0);
-  CHECK(read(2500) == relay::ListNews::Runners);
+  CHECK(read(2500) == relay::ListChange::Runners);
 }
 
 TEST_CASE("Updates name the runners that turned cold, and a whole list how cold they are now") {
--- a/tests/unit/core/relay/load_cap_test.cc
+++ b/tests/unit/core/relay/load_cap_test.cc
@@ -10,7 +10,7 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/load_sums.h"
+#include "core/relay/load_totals.h"
 #include "core/relay/renewal_period.h"
 #include "core/relay/runner_table.h"
 #include "ports/seeded_random.h"
@@ -100,23 +100,23 @@
   /// Engines send something for each request all the time.
   void streamEvents(int64_t now_ms) {
     for (const auto& [end_ms, running] : ends_) {
-      relays_[running.relay]->noteSignOfLife(*running.runner, now_ms);
+      relays_[running.relay]->recordActivity(*running.runner, now_ms);
     }
   }
 
   void renew(int64_t now_ms) {
-    const int64_t period_ms = relay::periodForFleet(relay::kRenewalPeriodMs, kRelays);
+    const int64_t period_ms = relay::renewalPeriodForFleetMs(relay::kRenewalPeriodMs, kRelays);
     for (size_t i = 0; i < kRelays; ++i) {
       const auto offset_ms = static_cast<int64_t>(i) * period_ms / static_cast<int64_t>(kRelays);
       if (now_ms % period_ms != offset_ms) {
         continue;
       }
       reported_[i] = relays_[i]->ownLoads(now_ms);
-      relay::LoadSums sums(1, kRunners);
+      relay::LoadTotals sums(1, kRunners);
       for (const v1::RunnerLoads& report : reported_) {
         sums.add(report);
       }
-      relays_[i]->setSums(sums.sums(), reported_[i], now_ms);
+      relays_[i]->setLoadTotals(sums.totals(), reported_[i], now_ms);
     }
   }
 
@@ -134,7 +134,7 @@
                                          .zone = "z",
                                          .now_ms = now_ms,
                                          .engine = true,
-                                         .standing = {.draw = random_.next()}};
+                                         .rank = {.draw = random_.next()}};
       const auto choice = relays_[at]->choose(request);
       if (const auto* chosen = std::get_if<relay::RunnerChoice>(&choice)) {
         send(at, chosen->runner, now_ms);
@@ -145,7 +145,7 @@
   void send(size_t from, const std::shared_ptr<relay::Runner>& runner, int64_t now_ms) {
     uint32_t& load = loads_[runner->entry.id()];
     const double mean = static_cast<double>(ends_.size()) / kRunners;
-    noteSent(Sent{.at_ms = now_ms, .over = load > kCapFactor * mean + kCapSlack});
+    recordSent(Sent{.at_ms = now_ms, .over = load > kCapFactor * mean + kCapSlack});
     ++load;
     relays_[from]->beginAttempt(*runner, now_ms);
     const auto length_ms =
@@ -153,7 +153,7 @@
     ends_.emplace(now_ms + length_ms, Running{.relay = from, .runner = runner});
   }
 
-  void noteSent(Sent sent) {
+  void recordSent(Sent sent) {
     window_.push_back(sent);
     while (window_.front().at_ms < sent.at_ms - kWindowMs) {
       window_.pop_front();
--- a/tests/unit/core/relay/placement_test.cc
+++ b/tests/unit/core/relay/placement_test.cc
@@ -12,11 +12,11 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/held_places.h"
-#include "core/relay/load_sums.h"
-#include "core/relay/place_owner.h"
+#include "core/relay/load_totals.h"
 #include "core/relay/placement.h"
 #include "core/relay/runner_table.h"
+#include "core/relay/slot_owner.h"
+#include "core/relay/slot_usage.h"
 
 namespace workshatch::test {
 
@@ -43,13 +43,13 @@
              bool busy) {
   Asked asked;
   while (const auto offer =
-             relay::nextOffer({}, relay::PlacementQuestion{.candidates = candidates,
-                                                           .refused = asked.ids.size(),
-                                                           .by_prompt = by_prompt,
-                                                           .engine = by_prompt,
-                                                           .busy = busy,
-                                                           .standing = {.priority = 1, .draw = 5},
-                                                           .cap_load = 20})) {
+             relay::nextOffer({}, relay::PlacementQuery{.candidates = candidates,
+                                                        .refused = asked.ids.size(),
+                                                        .by_prompt = by_prompt,
+                                                        .engine = by_prompt,
+                                                        .busy = busy,
+                                                        .rank = {.priority = 1, .draw = 5},
+                                                        .cap_load = 20})) {
     asked.ids.push_back(offer->runner->entry.id());
     asked.limits.push_back(offer->limit);
   }
@@ -128,7 +128,7 @@
 
   struct Relay {
     relay::RunnerTable table{relay::RunnerTableOptions{}};
-    relay::HeldPlaces held{1};
+    relay::SlotUsage held{1};
   };
   struct Run {
     int64_t ends_ms = 0;
@@ -139,13 +139,13 @@
   };
 
   void tellSums(int64_t now) {
-    relay::LoadSums sums(1, load_.size());
+    relay::LoadTotals sums(1, load_.size());
     for (const auto& relay : relays_) {
       sums.add(relay->table.ownLoads(now));
     }
-    const v1::RunnerLoads told = std::exchange(sums_, sums.sums());
+    const v1::RunnerLoads told = std::exchange(sums_, sums.totals());
     for (const auto& relay : relays_) {
-      relay->table.setSums(told, relay->table.ownLoads(now), now);
+      relay->table.setLoadTotals(told, relay->table.ownLoads(now), now);
     }
   }
 
@@ -156,7 +156,8 @@
       Relay& relay = *relays_[run.relay];
       relay.table.endAttempt(*run.runner, relay::AttemptOutcome::Succeeded, now);
       relay.held.remove(run.runner->fingerprint);
-      owner_.noteUse(nameOf(run.relay), relay.held.tell(run.runner->fingerprint, now), now);
+      owner_.recordUsage(nameOf(run.relay), relay.held.makeReport(run.runner->fingerprint, now),
+                         now);
       --load_[run.position];
     }
   }
@@ -168,8 +169,8 @@
     relay::RunnerRequest wish{.service = "s", .zone = "z", .now_ms = now};
     wish.cache_key = shape_.parts == 0 ? 0 : 1 + random_() % static_cast<uint64_t>(shape_.parts);
     wish.engine = shape_.parts != 0;
-    wish.standing = {.priority = 1, .draw = random_()};
-    wish.asks_owners = shape_.owners;
+    wish.rank = {.priority = 1, .draw = random_()};
+    wish.uses_slot_owners = shape_.owners;
     while (true) {
       const auto chosen = relays_[at]->table.choose(wish);
       const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
@@ -181,27 +182,27 @@
         begin(at, wish, *choice, now);
         return;
       }
-      ++wish.refused_places;
-      wish.asks_again = true;
+      ++wish.refused_slots;
+      wish.already_counted = true;
     }
   }
 
   bool takePlace(size_t at, const relay::RunnerChoice& choice, int64_t now) {
     Relay& relay = *relays_[at];
     v1::PlaceClaim claim;
-    *claim.mutable_use() = relay.held.tell(choice.runner->fingerprint, now);
+    *claim.mutable_use() = relay.held.makeReport(choice.runner->fingerprint, now);
     claim.set_limit(choice.limit);
-    const auto decision =
-        owner_.claim(nameOf(at), claim,
-                     relay::OwnedRunner{.told_load = choice.runner->load(), .listed = true}, now);
-    relay.table.noteLoad(*choice.runner, decision.load);
+    const auto decision = owner_.claim(
+        nameOf(at), claim,
+        relay::OwnedRunner{.reported_load = choice.runner->load(), .listed = true}, now);
+    relay.table.recordLoad(*choice.runner, decision.load);
     return decision.granted;
   }
 
   void begin(size_t at, const relay::RunnerRequest& wish, const relay::RunnerChoice& choice,
              int64_t now) {
     Relay& relay = *relays_[at];
-    relay.table.noteSent(wish, choice);
+    relay.table.recordSent(wish, choice);
     relay.table.beginAttempt(*choice.runner, now);
     relay.held.add(choice.runner->fingerprint);
     const auto position = static_cast<size_t>(std::stoi(choice.runner->entry.id().substr(1)));
@@ -221,7 +222,7 @@
   const Shape shape_;
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<Relay>> relays_;
-  relay::PlaceOwner owner_;
+  relay::SlotOwner owner_;
   v1::RunnerLoads sums_;
   /// Requests in progress by runner.
   std::vector<uint32_t> load_;
--- a/tests/unit/core/relay/part_copies_test.cc
+++ b/tests/unit/core/relay/prefix_copies_test.cc
@@ -8,7 +8,7 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/part_directory.h"
+#include "core/relay/prefix_directory.h"
 
 namespace workshatch::test {
 
@@ -24,7 +24,7 @@
 public:
   /// @param prompts_per_s how many begin to need the part in a second
   explicit FirstSeconds(int64_t prompts_per_s) : between_ms_(1000.0 / prompts_per_s) {
-    directory_.noteOwnersChanged(-60'000);
+    directory_.recordOwnersChanged(-60'000);
   }
 
   void play(int64_t seconds) {
@@ -45,9 +45,11 @@
   /// source has begun; else it reads it.
   void prompt(int64_t now_ms) {
     const uint64_t runner = ++runners_;
-    const relay::PartSource source = directory_.sourceFor(
-        relay::PromptTarget{
-            .part = 1000 + runner, .parent = kParent, .runner = runner, .parent_copy_us = kCopyUs},
+    const relay::PrefixSource source = directory_.sourceFor(
+        relay::PromptTarget{.prefix = 1000 + runner,
+                            .parent = kParent,
+                            .runner = runner,
+                            .parent_copy_us = kCopyUs},
         [](uint64_t) { return true; }, now_ms);
     const auto kept = has_from_ms_.find(source.runner);
     int64_t ready_ms = now_ms + kReadMs;
@@ -63,7 +65,7 @@
   }
 
   const double between_ms_;
-  relay::PartDirectory directory_;
+  relay::PrefixDirectory directory_;
   uint64_t runners_ = 0;
   /// Since when an engine keeps the part, and when its link is free of copies.
   std::unordered_map<uint64_t, int64_t> has_from_ms_;
@@ -88,13 +90,14 @@
 }
 
 TEST_CASE("Copies are spread over all holders that have had time to read the part") {
-  relay::PartDirectory directory;
-  directory.noteOwnersChanged(-60'000);
+  relay::PrefixDirectory directory;
+  directory.recordOwnersChanged(-60'000);
   const auto any = [](uint64_t) { return true; };
   const auto ask = [&](uint64_t runner, int64_t now_ms) {
     return directory
-        .sourceFor(relay::PromptTarget{.part = kParent, .runner = runner, .part_copy_us = kCopyUs},
-                   any, now_ms)
+        .sourceFor(
+            relay::PromptTarget{.prefix = kParent, .runner = runner, .part_copy_us = kCopyUs}, any,
+            now_ms)
         .runner;
   };
   CHECK(ask(1, 0) == 0);
@@ -111,12 +114,12 @@
 }
 
 TEST_CASE("Where the time of a copy is not known, sources are named as they are") {
-  relay::PartDirectory directory;
-  directory.noteOwnersChanged(-60'000);
+  relay::PrefixDirectory directory;
+  directory.recordOwnersChanged(-60'000);
   for (uint64_t runner = 1; runner < 50; ++runner) {
     const auto now_ms = static_cast<int64_t>(runner);
     const auto source = directory.sourceFor(
-        relay::PromptTarget{.part = kParent, .runner = runner}, [](uint64_t) { return true; },
+        relay::PromptTarget{.prefix = kParent, .runner = runner}, [](uint64_t) { return true; },
         now_ms);
     CHECK(source.runner == (runner == 1 ? 0U : 1U));
   }
--- a/tests/unit/core/relay/part_directory_test.cc
+++ b/tests/unit/core/relay/prefix_directory_test.cc
@@ -5,7 +5,7 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/part_directory.h"
+#include "core/relay/prefix_directory.h"
 #include "core/routing/rendezvous.h"
 #include "ports/seeded_random.h"
 
@@ -13,60 +13,60 @@
 
 namespace {
 
-using relay::PartDirectory;
-using relay::PartSource;
+using relay::PrefixDirectory;
+using relay::PrefixSource;
 
 constexpr uint64_t kPart = 100;
 constexpr uint64_t kOtherPart = 101;
 constexpr uint64_t kParent = 7;
 /// By then a directory has been told of all parts in use.
-constexpr int64_t kCountedMs = 10'000;
+constexpr int64_t kWarmUpMs = 10'000;
 
 bool any(uint64_t) { return true; }
 
-PartDirectory countedDirectory() {
-  PartDirectory directory;
-  directory.noteOwnersChanged(0);
+PrefixDirectory countedDirectory() {
+  PrefixDirectory directory;
+  directory.recordOwnersChanged(0);
   return directory;
 }
 
 } // namespace
 
 TEST_CASE("A prompt's runner takes the part from one that had it, and keeps it itself then") {
-  PartDirectory directory = countedDirectory();
-  const int64_t now = kCountedMs;
-  CHECK(directory.sourceFor({.part = kPart, .parent = kParent, .runner = 1}, any, now).runner == 0);
-  CHECK(directory.sourceFor({.part = kPart, .parent = kParent, .runner = 2}, any, now + 1500)
+  PrefixDirectory directory = countedDirectory();
+  const int64_t now = kWarmUpMs;
+  CHECK(directory.sourceFor({.prefix = kPart, .parent = kParent, .runner = 1}, any, now).runner ==
+        0);
+  CHECK(directory.sourceFor({.prefix = kPart, .parent = kParent, .runner = 2}, any, now + 1500)
             .runner == 1);
-  CHECK(directory.sourceFor({.part = kPart, .parent = kParent, .runner = 2}, any, now + 1900)
+  CHECK(directory.sourceFor({.prefix = kPart, .parent = kParent, .runner = 2}, any, now + 1900)
             .runner == 0);
 }
 
 TEST_CASE("Where nobody has the part, the part before it is taken from who has that") {
-  PartDirectory directory = countedDirectory();
-  const int64_t now = kCountedMs;
-  directory.sourceFor({.part = kPart, .parent = kParent, .runner = 1}, any, now);
-  const PartSource source =
-      directory.sourceFor({.part = kOtherPart, .parent = kParent, .runner = 2}, any, now + 1500);
+  PrefixDirectory directory = countedDirectory();
+  const int64_t now = kWarmUpMs;
+  directory.sourceFor({.prefix = kPart, .parent = kParent, .runner = 1}, any, now);
+  const PrefixSource source =
+      directory.sourceFor({.prefix = kOtherPart, .parent = kParent, .runner = 2}, any, now + 1500);
   CHECK(source.known);
   CHECK(source.runner == 1);
   // The runner has the parent now, and the part is nowhere else.
-  CHECK(
-      directory.sourceFor({.part = 102, .parent = kParent, .runner = 2}, any, now + 1900).runner ==
-      0);
+  CHECK(directory.sourceFor({.prefix = 102, .parent = kParent, .runner = 2}, any, now + 1900)
+            .runner == 0);
 }
 
 TEST_CASE("A runner that has not had time to read the part is named only without another") {
-  PartDirectory directory = countedDirectory();
-  const int64_t now = kCountedMs;
-  directory.sourceFor({.part = kPart, .runner = 1}, any, now);
-  CHECK(directory.sourceFor({.part = kPart, .runner = 2}, any, now + 10).runner == 1);
-  CHECK(directory.sourceFor({.part = kPart, .runner = 3}, any, now + 20).runner == 1);
+  PrefixDirectory directory = countedDirectory();
+  const int64_t now = kWarmUpMs;
+  directory.sourceFor({.prefix = kPart, .runner = 1}, any, now);
+  CHECK(directory.sourceFor({.prefix = kPart, .runner = 2}, any, now + 10).runner == 1);
+  CHECK(directory.sourceFor({.prefix = kPart, .runner = 3}, any, now + 20).runner == 1);
   // Later all three are ready, and take turns.
   std::set<uint64_t> named;
   for (uint64_t runner = 10; runner < 13; ++runner) {
     named.insert(directory
-                     .sourceFor({.part = kPart, .runner = runner}, any,
+                     .sourceFor({.prefix = kPart, .runner = runner}, any,
                                 now + 2000 + static_cast<int64_t>(runner))
                      .runner);
   }
@@ -74,33 +74,33 @@
 }
 
 TEST_CASE("A runner that can't be copied from, lost the part or never got it is not named") {
-  PartDirectory directory = countedDirectory();
-  const int64_t now = kCountedMs;
-  directory.sourceFor({.part = kPart, .parent = kParent, .runner = 1}, any, now);
+  PrefixDirectory directory = countedDirectory();
+  const int64_t now = kWarmUpMs;
+  directory.sourceFor({.prefix = kPart, .parent = kParent, .runner = 1}, any, now);
   const auto without_first = [](uint64_t runner) { return runner != 1; };
   CHECK(directory
-            .sourceFor({.part = kPart, .parent = kParent, .runner = 2}, without_first, now + 1500)
+            .sourceFor({.prefix = kPart, .parent = kParent, .runner = 2}, without_first, now + 1500)
             .runner == 0);
-  directory.noteNotSent({.part = kPart, .parent = kParent, .runner = 2});
+  directory.recordNotDelivered({.prefix = kPart, .parent = kParent, .runner = 2});
   CHECK(directory
-            .sourceFor({.part = kPart, .parent = kParent, .runner = 3}, without_first, now + 1900)
+            .sourceFor({.prefix = kPart, .parent = kParent, .runner = 3}, without_first, now + 1900)
             .runner == 0);
   // Nothing was asked for so long that engines have given the part up.
-  CHECK(directory.sourceFor({.part = kPart, .parent = kParent, .runner = 4}, any, now + 60'000)
+  CHECK(directory.sourceFor({.prefix = kPart, .parent = kParent, .runner = 4}, any, now + 60'000)
             .runner == 0);
-  directory.forgetStale(now + 120'000);
-  CHECK(directory.partCount() == 0);
+  directory.dropStale(now + 120'000);
+  CHECK(directory.prefixCount() == 0);
 }
 
 TEST_CASE("A directory that has not counted for long says only what it was told") {
-  PartDirectory directory;
-  CHECK_FALSE(directory.sourceFor({.part = kPart, .runner = 1}, any, 0).known);
-  directory.noteOwnersChanged(1000);
-  CHECK_FALSE(directory.sourceFor({.part = kOtherPart, .runner = 1}, any, 2000).known);
-  const PartSource told = directory.sourceFor({.part = kPart, .runner = 2}, any, 2000);
+  PrefixDirectory directory;
+  CHECK_FALSE(directory.sourceFor({.prefix = kPart, .runner = 1}, any, 0).known);
+  directory.recordOwnersChanged(1000);
+  CHECK_FALSE(directory.sourceFor({.prefix = kOtherPart, .runner = 1}, any, 2000).known);
+  const PrefixSource told = directory.sourceFor({.prefix = kPart, .runner = 2}, any, 2000);
   CHECK(told.known);
   CHECK(told.runner == 1);
-  CHECK(directory.sourceFor({.part = 200, .runner = 1}, any, 1000 + kCountedMs).known);
+  CHECK(directory.sourceFor({.prefix = 200, .runner = 1}, any, 1000 + kWarmUpMs).known);
 }
 
 TEST_CASE("The start of a day: the long parts of four kinds are read by few of ninety engines") {
@@ -111,8 +111,8 @@
   constexpr int64_t kLengthMs = 10'000;
   constexpr uint64_t kPromptsPerSecond = 149;
   constexpr int64_t kReadMs = 60;
-  PartDirectory directory;
-  directory.noteOwnersChanged(0);
+  PrefixDirectory directory;
+  directory.recordOwnersChanged(0);
   SeededRandom random(3);
   // When each engine has read or copied a parent.
   std::vector<std::vector<int64_t>> ready(kEngines + 1, std::vector<int64_t>(kParents + 1, -1));
@@ -122,11 +122,11 @@
     if (random.below(1000) >= kPromptsPerSecond) {
       continue;
     }
-    const uint64_t part = 1000 + random.below(kParts);
-    const uint64_t parent = 1 + part % kParents;
-    const uint64_t home = 1 + part / kParents % kEngines;
-    const PartSource source =
-        directory.sourceFor({.part = part, .parent = parent, .runner = home}, any, now);
+    const uint64_t prefix = 1000 + random.below(kParts);
+    const uint64_t parent = 1 + prefix % kParents;
+    const uint64_t home = 1 + prefix / kParents % kEngines;
+    const PrefixSource source =
+        directory.sourceFor({.prefix = prefix, .parent = parent, .runner = home}, any, now);
     int64_t& have = ready[home][parent];
     if (have >= 0) {
       continue;
--- a/tests/unit/core/relay/part_sources_test.cc
+++ b/tests/unit/core/relay/prefix_sources_test.cc
@@ -6,7 +6,7 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/part_sources.h"
+#include "core/relay/prefix_sources.h"
 #include "core/routing/rendezvous.h"
 
 namespace workshatch::test {
@@ -26,19 +26,19 @@
 }
 
 /// @return runners in the order in which they rank for the part.
-Runners rankedFor(uint64_t part, int count) {
+Runners rankedFor(uint64_t prefix, int count) {
   Runners runners;
   for (int i = 0; i < count; ++i) {
     runners.push_back(runnerNamed("r" + std::to_string(i)));
   }
-  return routing::rank(part, std::move(runners),
+  return routing::rank(prefix, std::move(runners),
                        [](const auto& runner) -> const std::string& { return runner->entry.id(); });
 }
 
-relay::SourceQuestion question(const Runners& runners, const relay::Runner& chosen,
-                               int64_t now_ms = kNowMs) {
-  return relay::SourceQuestion{
-      .part = kPart,
+relay::SourceQuery query(const Runners& runners, const relay::Runner& chosen,
+                         int64_t now_ms = kNowMs) {
+  return relay::SourceQuery{
+      .prefix = kPart,
       .parent = kParent,
       .chosen = &chosen,
       .runners = &runners,
@@ -50,61 +50,61 @@
 
 TEST_CASE("A part comes from the runner that this relay sent it to lately") {
   const Runners ranked = rankedFor(kPart, 5);
-  relay::PartSources sources;
-  sources.noteSent(kPart, kParent, ranked[3], kNowMs - 1'000);
-  CHECK(sources.sourceFor(question(ranked, *ranked[0])) == ranked[3]);
+  relay::PrefixSources sources;
+  sources.recordSent(kPart, kParent, ranked[3], kNowMs - 1'000);
+  CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[3]);
   // It has the part itself.
-  CHECK(sources.sourceFor(question(ranked, *ranked[3])) == nullptr);
+  CHECK(sources.sourceFor(query(ranked, *ranked[3])) == nullptr);
   // That was long ago: the ranking tells more.
-  CHECK(sources.sourceFor(question(ranked, *ranked[1], kNowMs + 20'000)) == ranked[0]);
+  CHECK(sources.sourceFor(query(ranked, *ranked[1], kNowMs + 20'000)) == ranked[0]);
   // It is not to be asked now.
   ranked[3]->avoid_until_ms = kNowMs + 1;
-  CHECK(sources.sourceFor(question(ranked, *ranked[1])) == ranked[0]);
+  CHECK(sources.sourceFor(query(ranked, *ranked[1])) == ranked[0]);
   ranked[3]->avoid_until_ms = 0;
   ranked[3]->gone = true;
-  CHECK(sources.sourceFor(question(ranked, *ranked[1])) == ranked[0]);
+  CHECK(sources.sourceFor(query(ranked, *ranked[1])) == ranked[0]);
 }
 
 TEST_CASE("A new runner takes parts from the one that ranked first before it and others came") {
   const Runners ranked = rankedFor(kPart, 5);
   ranked[0]->listed_since_ms = kNowMs - 1'000;
   ranked[1]->listed_since_ms = kNowMs - 1'000;
-  const relay::PartSources sources;
-  CHECK(sources.sourceFor(question(ranked, *ranked[0])) == ranked[2]);
+  const relay::PrefixSources sources;
+  CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[2]);
   // By then the part has come to the first.
-  CHECK(sources.sourceFor(question(ranked, *ranked[1], kNowMs + 60'000)) == ranked[0]);
+  CHECK(sources.sourceFor(query(ranked, *ranked[1], kNowMs + 60'000)) == ranked[0]);
 }
 
 TEST_CASE("A home that was avoided lately takes parts from the next, which stood in for it") {
   const Runners ranked = rankedFor(kPart, 5);
-  const relay::PartSources sources;
+  const relay::PrefixSources sources;
   ranked[0]->avoid_until_ms = kNowMs - 1'000;
-  CHECK(sources.sourceFor(question(ranked, *ranked[0])) == ranked[1]);
+  CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[1]);
 }
 
 TEST_CASE("At its home a part is there or nowhere: the part before it may be elsewhere") {
   const Runners ranked = rankedFor(kPart, 5);
-  relay::PartSources sources;
+  relay::PrefixSources sources;
   // Nobody has told of the part before it: all take it from the runner that ranks first for it.
-  const auto source = sources.sourceFor(question(ranked, *ranked[0]));
+  const auto source = sources.sourceFor(query(ranked, *ranked[0]));
   REQUIRE(source != nullptr);
   for (const auto& runner : ranked) {
     const bool better = routing::rendezvousWeight(kParent, runner->entry.id()) >
                         routing::rendezvousWeight(kParent, source->entry.id());
     CHECK((runner == ranked[0] || !better));
   }
-  sources.noteSent(kPart + 1, kParent, ranked[4], kNowMs - 1'000);
-  CHECK(sources.sourceFor(question(ranked, *ranked[0])) == ranked[4]);
+  sources.recordSent(kPart + 1, kParent, ranked[4], kNowMs - 1'000);
+  CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[4]);
 }
 
 TEST_CASE("A bounded number of parts is remembered, and old ones give way") {
   const Runners ranked = rankedFor(kPart, 3);
-  relay::PartSources sources;
-  for (uint64_t part = 1'000; part < 3'000; ++part) {
-    sources.noteSent(part, 0, ranked[2], kNowMs - 60'000);
+  relay::PrefixSources sources;
+  for (uint64_t prefix = 1'000; prefix < 3'000; ++prefix) {
+    sources.recordSent(prefix, 0, ranked[2], kNowMs - 60'000);
   }
-  sources.noteSent(kPart, kParent, ranked[2], kNowMs);
-  CHECK(sources.sourceFor(question(ranked, *ranked[0])) == ranked[2]);
+  sources.recordSent(kPart, kParent, ranked[2], kNowMs);
+  CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[2]);
 }
 
 } // namespace workshatch::test
--- a/tests/unit/core/relay/relay_addresses_test.cc
+++ b/tests/unit/core/relay/relay_addresses_test.cc
@@ -28,10 +28,10 @@
   add(list, "a1", "a");
   add(list, "a2", "a");
   add(list, "b1", "b");
-  const relay::AddressQuestion of_a{.zone = "a", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, of_a) == std::vector<std::string>{"a1", "a2"});
-  const relay::AddressQuestion of_b{.zone = "b", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, of_b).size() == 3);
+  const relay::AddressQuery of_a{.zone = "a", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, of_a) == std::vector<std::string>{"a1", "a2"});
+  const relay::AddressQuery of_b{.zone = "b", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, of_b).size() == 3);
 }
 
 TEST_CASE("Callers of a zone with too few relays stay in their region where it has enough") {
@@ -40,13 +40,13 @@
   add(list, "a2", "a");
   add(list, "b1", "b");
   add(list, "c1", "c");
-  const relay::AddressQuestion of_b{.zone = "b", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, of_b) == std::vector<std::string>{"b1", "c1"});
+  const relay::AddressQuery of_b{.zone = "b", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, of_b) == std::vector<std::string>{"b1", "c1"});
   // A zone without relays that the settings do not name: the caller's word on its region counts.
-  const relay::AddressQuestion elsewhere{.zone = "d", .region = "west", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, elsewhere) == std::vector<std::string>{"b1", "c1"});
-  const relay::AddressQuestion nowhere{.zone = "d", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, nowhere).size() == 4);
+  const relay::AddressQuery elsewhere{.zone = "d", .region = "west", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, elsewhere) == std::vector<std::string>{"b1", "c1"});
+  const relay::AddressQuery nowhere{.zone = "d", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, nowhere).size() == 4);
 }
 
 TEST_CASE("A relay that is out of touch sends callers to the others, unless it knows of none") {
@@ -54,9 +54,10 @@
   add(list, "a1", "a");
   add(list, "a2", "a");
   add(list, "b1", "b");
-  const relay::AddressQuestion question{.zone = "a", .own_address = "a1", .in_touch = false};
-  CHECK(relay::addressesFor(list, kZones, question) == std::vector<std::string>{"a2", "b1"});
-  CHECK(relay::addressesFor(v1::RelayList(), kZones, question) == std::vector<std::string>{"a1"});
+  const relay::AddressQuery question{.zone = "a", .own_address = "a1", .confirmed_recently = false};
+  CHECK(relay::selectAddresses(list, kZones, question) == std::vector<std::string>{"a2", "b1"});
+  CHECK(relay::selectAddresses(v1::RelayList(), kZones, question) ==
+        std::vector<std::string>{"a1"});
 }
 
 TEST_CASE("Of many relays a bounded number is told, another for each draw") {
@@ -64,11 +65,11 @@
   for (int i = 0; i < 300; ++i) {
     add(list, "r" + std::to_string(i), "a");
   }
-  relay::AddressQuestion question{.zone = "a", .own_address = "r0", .draw = 1};
-  const std::vector<std::string> first = relay::addressesFor(list, kZones, question);
+  relay::AddressQuery question{.zone = "a", .own_address = "r0", .draw = 1};
+  const std::vector<std::string> first = relay::selectAddresses(list, kZones, question);
   CHECK(std::set<std::string>(first.begin(), first.end()).size() == 64);
   question.draw = 2;
-  CHECK(relay::addressesFor(list, kZones, question) != first);
+  CHECK(relay::selectAddresses(list, kZones, question) != first);
 }
 
 TEST_CASE("Callers keep addresses for longer while relays are silent") {
@@ -82,14 +83,14 @@
 
 TEST_CASE("A silent relay is counted until it is heard again, or for half a minute") {
   relay::SilentRelays silent;
-  silent.fellSilent("a", 1'000);
-  silent.fellSilent("b", 2'000);
+  silent.recordSilent("a", 1'000);
+  silent.recordSilent("b", 2'000);
   CHECK(silent.count(2'000) == 2);
-  silent.heard("a");
+  silent.recordRenewal("a");
   CHECK(silent.count(3'000) == 1);
   CHECK(silent.count(32'000) == 1);
   CHECK(silent.count(32'001) == 0);
-  silent.fellSilent("a", 40'000);
+  silent.recordSilent("a", 40'000);
   silent.clear();
   CHECK(silent.count(40'000) == 0);
 }
--- a/tests/unit/core/relay/relay_watch_test.cc
+++ b/tests/unit/core/relay/relay_monitor_test.cc
@@ -10,7 +10,7 @@
 #include <doctest/doctest.h>
 
 #include "core/relay/relay_list_history.h"
-#include "core/relay/relay_watch.h"
+#include "core/relay/relay_monitor.h"
 #include "core/relay/renewal_period.h"
 
 namespace workshatch::test {
@@ -21,7 +21,7 @@
 class WatchedFleet {
 public:
   WatchedFleet(size_t relays, uint32_t seed)
-      : period_ms_(relay::periodForFleet(relay::kRenewalPeriodMs, relays)), random_(seed),
+      : period_ms_(relay::renewalPeriodForFleetMs(relay::kRenewalPeriodMs, relays)), random_(seed),
         relays_(relays) {
     for (Relay& relay : relays_) {
       relay.next_renewal_ms = below(period_ms_);
@@ -96,7 +96,7 @@
     if (now_ms >= relay.next_renewal_ms || relay.asked_to_renew) {
       relay.asked_to_renew = false;
       relay.next_renewal_ms = now_ms + period_ms_;
-      watch_.heard(std::to_string(number), now_ms);
+      watch_.recordRenewal(std::to_string(number), now_ms);
     }
     if (std::bernoulli_distribution(kAsksPerSecond * kStepMs / 1000)(random_)) {
       askAnother(now_ms);
@@ -106,7 +106,7 @@
   void askAnother(int64_t now_ms) {
     const auto other = static_cast<size_t>(below(static_cast<int64_t>(relays_.size())));
     const bool silent = relays_[other].stalled_until_ms > now_ms;
-    if (silent && watch_.reportedSilent(std::to_string(other), now_ms)) {
+    if (silent && watch_.reportUnanswered(std::to_string(other), now_ms)) {
       ++asked_;
       relays_[other].asked_to_renew = true;
     }
@@ -114,7 +114,7 @@
 
   const int64_t period_ms_;
   std::mt19937 random_;
-  relay::RelayWatch watch_;
+  relay::RelayMonitor watch_;
   std::vector<Relay> relays_;
   size_t asked_ = 0;
 };
--- a/tests/unit/core/relay/retry_budget_test.cc
+++ b/tests/unit/core/relay/retry_budget_test.cc
@@ -23,7 +23,7 @@
 
 int takeAll(relay::RetryBudget& budget, int64_t now_ms) {
   int taken = 0;
-  while (budget.takeRepeat("s", now_ms)) {
+  while (budget.takeRetry("s", now_ms)) {
     ++taken;
   }
   return taken;
@@ -36,7 +36,7 @@
   size_t below(size_t bound) { return random() % bound; }
   std::unique_ptr<relay::RetryBudget> start() {
     relay::RetryBudgetOptions options = optionsWithSlack(slack);
-    options.lot = std::uniform_real_distribution<double>(0, 1)(random);
+    options.draw = std::uniform_real_distribution<double>(0, 1)(random);
     return std::make_unique<relay::RetryBudget>(options);
   }
   void join() { relays.push_back(start()); }
@@ -59,7 +59,7 @@
     for (const auto& budget : relays) {
       const size_t requests = below(3);
       for (size_t i = 0; i < requests; ++i) {
-        budget->noteRequest("s", now_ms);
+        budget->recordRequest("s", now_ms);
         request_times.push_back(now_ms);
       }
       const int taken = takeAll(*budget, now_ms);
@@ -97,24 +97,24 @@
   relay::RetryBudget budget(optionsWithSlack(20));
   budget.setRelays(2, 0);
   for (int i = 0; i < 51; ++i) {
-    budget.noteRequest("s", 0);
+    budget.recordRequest("s", 0);
   }
   // 0.7 of 10.2 earned; the slack has yet to accrue.
   CHECK(takeAll(budget, 0) == 7);
   // 0.7 of half of 10 of the slack after a window; the requests count no more.
   CHECK(takeAll(budget, 1000) == 3);
-  CHECK_FALSE(budget.takeRepeat("s", 1100));
-  CHECK(budget.takeRepeat("other", 1100));
+  CHECK_FALSE(budget.takeRetry("s", 1100));
+  CHECK(budget.takeRetry("other", 1100));
   // No more than that is saved up.
   CHECK(takeAll(budget, 9000) == 3);
 }
 
 TEST_CASE("A relay that does not know how many there are spends no slack") {
   relay::RetryBudget budget(optionsWithSlack(1000));
-  CHECK_FALSE(budget.takeRepeat("s", 50'000));
+  CHECK_FALSE(budget.takeRetry("s", 50'000));
   budget.setRelays(1, 50'000);
-  CHECK_FALSE(budget.takeRepeat("s", 50'000));
-  CHECK(budget.takeRepeat("s", 50'100));
+  CHECK_FALSE(budget.takeRetry("s", 50'000));
+  CHECK(budget.takeRetry("s", 50'100));
 }
 
 TEST_CASE("The share of relays that went is taken over a window later") {
@@ -140,7 +140,7 @@
   std::vector<relay::RetryBudget> relays;
   for (size_t i = 0; i < kRelays; ++i) {
     relays.emplace_back(relay::RetryBudgetOptions{
-        .ratio = kRatio, .window_ms = kLongWindowMs, .slack = 1040, .lot = part(random)});
+        .ratio = kRatio, .window_ms = kLongWindowMs, .slack = 1040, .draw = part(random)});
     relays.back().setRelays(kRelays, 0);
   }
   size_t wanted = 0;
@@ -151,10 +151,10 @@
       if (part(random) >= 0.25 * static_cast<double>(kStepMs) / 1000) {
         continue;
       }
-      budget.noteRequest("s", now_ms);
+      budget.recordRequest("s", now_ms);
       const bool repeatable = part(random) < 0.3;
       if (repeatable && part(random) < 1.0 / 7) {
-        const bool taken = budget.takeRepeat("s", now_ms);
+        const bool taken = budget.takeRetry("s", now_ms);
         wanted += settled ? 1 : 0;
         allowed += settled && taken ? 1 : 0;
       }
@@ -176,14 +176,14 @@
       size_t repeats = 0;
       for (size_t i = 0; i < kRelays; ++i) {
         relay::RetryBudget budget(relay::RetryBudgetOptions{
-            .ratio = kRatio, .window_ms = kLongWindowMs, .slack = kSlack, .lot = part(random)});
+            .ratio = kRatio, .window_ms = kLongWindowMs, .slack = kSlack, .draw = part(random)});
         budget.setRelays(static_cast<size_t>(relays_told), 0);
         for (int64_t now_ms = kLongWindowMs; now_ms < 2 * kLongWindowMs; now_ms += 100) {
           if (part(random) < 0.025) {
-            budget.noteRequest("s", now_ms);
+            budget.recordRequest("s", now_ms);
             ++requests;
           }
-          repeats += budget.takeRepeat("s", now_ms) ? 1 : 0;
+          repeats += budget.takeRetry("s", now_ms) ? 1 : 0;
         }
       }
       CHECK(static_cast<double>(repeats) <= kRatio * static_cast<double>(requests) + kSlack);
--- a/tests/unit/core/relay/rollout_analysis_test.cc
+++ b/tests/unit/core/relay/rollout_analysis_test.cc
@@ -67,15 +67,17 @@
         analysis.emplace(rollout_, now_ms, now_ms);
         leads_since_ms = now_ms;
       }
-      const bool all_heard = leads_since_ms == 0 || now_ms - leads_since_ms >= kRelaysHeardMs;
+      const bool all_relays_reported =
+          leads_since_ms == 0 || now_ms - leads_since_ms >= kRelaysHeardMs;
       v1::RolloutReport report;
       report.set_rollout(rollout_.id());
       outcomes_.fill(report);
-      analysis->take("relay", 1, report, now_ms);
+      analysis->addReport("relay", 1, report, now_ms);
       const auto phase = analysis->decide(
-          v1::ROLLOUT_CANARY,
-          relay::RolloutSituation{
-              .now_ms = now_ms, .target_places = 8, .former_places = 8, .all_heard = all_heard});
+          v1::ROLLOUT_CANARY, relay::RolloutConditions{.now_ms = now_ms,
+                                                       .target_slots = 8,
+                                                       .former_slots = 8,
+                                                       .all_relays_reported = all_relays_reported});
       if (phase) {
         return Judged{.phase = *phase, .at_ms = now_ms, .bad_answers = bad_answers_};
       }
@@ -103,7 +105,7 @@
             80 * times * spread(random_) * (target ? version_.first_times_longer : 1);
       }
       bad_answers_ += worse && failed ? 1 : 0;
-      outcomes_.note(rollout_.id(), outcome);
+      outcomes_.record(rollout_.id(), outcome);
     }
   }
 
@@ -178,20 +180,20 @@
 }
 
 TEST_CASE("A version that can't be judged in time is rolled back, and never without all relays") {
-  const auto last_phase = [](const relay::RolloutSituation& rest) {
+  const auto last_phase = [](const relay::RolloutConditions& rest) {
     v1::Rollout rollout;
     rollout.set_duration_ms(kDurationMs);
     relay::RolloutAnalysis analysis(rollout, 0, 0);
     std::optional<v1::RolloutPhase> phase;
     for (int64_t now_ms = 0; now_ms <= kDurationMs && !phase; now_ms += kStepMs) {
-      relay::RolloutSituation situation = rest;
+      relay::RolloutConditions situation = rest;
       situation.now_ms = now_ms;
       phase = analysis.decide(v1::ROLLOUT_CANARY, situation);
     }
     return phase;
   };
-  CHECK(last_phase({.all_heard = true}) == v1::ROLLOUT_ROLLED_BACK);
-  CHECK(last_phase({.all_heard = false}) == std::nullopt);
+  CHECK(last_phase({.all_relays_reported = true}) == v1::ROLLOUT_ROLLED_BACK);
+  CHECK(last_phase({.all_relays_reported = false}) == std::nullopt);
 }
 
 TEST_CASE(
@@ -199,21 +201,21 @@
   v1::Rollout rollout;
   rollout.set_duration_ms(kDurationMs);
   relay::RolloutAnalysis analysis(rollout, 0, 0);
-  CHECK(analysis.decide(v1::ROLLOUT_PROMOTING, {.now_ms = 9000, .all_heard = true}) ==
+  CHECK(analysis.decide(v1::ROLLOUT_PROMOTING, {.now_ms = 9000, .all_relays_reported = true}) ==
         std::nullopt);
   CHECK(analysis.decide(v1::ROLLOUT_PROMOTING,
-                        {.now_ms = 9000, .all_heard = true, .former_idle = true}) ==
+                        {.now_ms = 9000, .all_relays_reported = true, .former_idle = true}) ==
         v1::ROLLOUT_SUCCEEDED);
   relay::RolloutOutcomes outcomes;
   for (int i = 0; i < 200; ++i) {
-    outcomes.note(7, {.route = "r", .target = i % 2 == 0, .failed = i % 4 == 0});
+    outcomes.record(7, {.route = "r", .target = i % 2 == 0, .failed = i % 4 == 0});
   }
   v1::RolloutReport report;
   report.set_rollout(7);
   outcomes.fill(report);
-  analysis.take("relay", 1, report, 9000);
+  analysis.addReport("relay", 1, report, 9000);
   CHECK(analysis.decide(v1::ROLLOUT_PROMOTING,
-                        {.now_ms = 9100, .all_heard = true, .former_idle = true}) ==
+                        {.now_ms = 9100, .all_relays_reported = true, .former_idle = true}) ==
         v1::ROLLOUT_ROLLED_BACK);
 }
 
@@ -224,19 +226,19 @@
   const auto reportOf = [](int answers) {
     relay::RolloutOutcomes outcomes;
     for (int i = 0; i < answers; ++i) {
-      outcomes.note(7, {.route = "r", .target = true});
+      outcomes.record(7, {.route = "r", .target = true});
     }
     v1::RolloutReport report;
     report.set_rollout(7);
     outcomes.fill(report);
     return report;
   };
-  analysis.take("a", 1, reportOf(5), 10);
-  analysis.take("a", 1, reportOf(5), 20);
-  analysis.take("a", 1, reportOf(8), 30);
-  analysis.take("b", 1, reportOf(1), 30);
+  analysis.addReport("a", 1, reportOf(5), 10);
+  analysis.addReport("a", 1, reportOf(5), 20);
+  analysis.addReport("a", 1, reportOf(8), 30);
+  analysis.addReport("b", 1, reportOf(1), 30);
   CHECK(analysis.outcomes().totalOf(true).ended == 9);
-  analysis.take("a", 2, reportOf(2), 40);
+  analysis.addReport("a", 2, reportOf(2), 40);
   CHECK(analysis.outcomes().totalOf(true).ended == 11);
 }
 
--- a/tests/unit/core/relay/rollout_gate_test.cc
+++ b/tests/unit/core/relay/rollout_gate_test.cc
@@ -47,7 +47,7 @@
     gate->setRollouts(rolloutIn(v1::ROLLOUT_CANARY), random());
     for (size_t request = 1; request <= trial.requests_each; ++request) {
       trials += gate->takeTrial("s") ? 1 : 0;
-      gate->noteSent("s");
+      gate->recordSent("s");
       if (trial.restart_after != 0 && request % trial.restart_after == 0) {
         gate = std::make_unique<relay::RolloutGate>(kShare);
         gate->setRollouts(rolloutIn(v1::ROLLOUT_CANARY), random());
@@ -73,7 +73,7 @@
 /// @return the version of the runner chosen; empty: none was.
 std::string versionChosen(relay::RunnerTable& table, bool trial, uint64_t draw = 1) {
   relay::RunnerRequest request{.service = "s", .now_ms = 10, .trial = trial};
-  request.standing.draw = draw;
+  request.rank.draw = draw;
   const auto chosen = table.choose(request);
   const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
   return choice == nullptr ? "" : choice->runner->entry.version();
@@ -101,20 +101,20 @@
   relay::RolloutGate gate(0.5);
   gate.setRollouts(rolloutIn(v1::ROLLOUT_CANARY), 0);
   CHECK_FALSE(gate.takeTrial("s"));
-  gate.noteSent("s");
-  gate.noteSent("s");
+  gate.recordSent("s");
+  gate.recordSent("s");
   REQUIRE(gate.takeTrial("s"));
   CHECK_FALSE(gate.takeTrial("s"));
   gate.returnTrial("s");
   CHECK(gate.takeTrial("s"));
   CHECK_FALSE(gate.takeTrial("other"));
   // The same rollout, told again with another service's: what was earned stays.
-  gate.noteSent("s");
-  gate.noteSent("s");
+  gate.recordSent("s");
+  gate.recordSent("s");
   gate.setRollouts(rolloutIn(v1::ROLLOUT_CANARY, 6), 0);
   CHECK(gate.takeTrial("s"));
   gate.setRollouts(rolloutIn(v1::ROLLOUT_ROLLED_BACK, 7), 0);
-  gate.noteSent("s");
+  gate.recordSent("s");
   CHECK_FALSE(gate.takeTrial("s"));
 }
 
@@ -151,7 +151,7 @@
   std::set<std::string> used;
   for (uint64_t draw = 0; draw < 200; ++draw) {
     relay::RunnerRequest request{.service = "s", .now_ms = 10, .trial = true};
-    request.standing.draw = draw * 0x9e3779b97f4a7c15U;
+    request.rank.draw = draw * 0x9e3779b97f4a7c15U;
     const auto chosen = table.choose(request);
     used.insert(std::get<relay::RunnerChoice>(chosen).runner->entry.id());
   }
--- a/tests/unit/core/relay/rollout_under_load_test.cc
+++ b/tests/unit/core/relay/rollout_under_load_test.cc
@@ -71,11 +71,11 @@
       v1::RolloutReport report;
       report.set_rollout(rolloutOnTrial().id());
       outcomes_.fill(report);
-      analysis.take("relay", 1, report, now_ms);
+      analysis.addReport("relay", 1, report, now_ms);
       const auto phase = analysis.decide(
           v1::ROLLOUT_CANARY,
-          relay::RolloutSituation{
-              .now_ms = now_ms, .target_places = 8, .former_places = 8, .all_heard = true});
+          relay::RolloutConditions{
+              .now_ms = now_ms, .target_slots = 8, .former_slots = 8, .all_relays_reported = true});
       if (phase) {
         return phase;
       }
@@ -90,11 +90,11 @@
     for (int i = 0; i < kRequestsInStep; ++i) {
       relay::RunnerRequest request{
           .service = "s", .now_ms = now_ms, .trial = table_.rollouts().takeTrial("s")};
-      request.standing.draw = random_();
+      request.rank.draw = random_();
       const auto chosen = table_.choose(request);
       const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
       REQUIRE(choice != nullptr);
-      table_.rollouts().noteSent("s");
+      table_.rollouts().recordSent("s");
       table_.beginAttempt(*choice->runner, now_ms);
       running.push_back(choice->runner);
     }
@@ -111,8 +111,8 @@
     const bool harmed = target && harmed_by_load_ && runner.in_progress >= kLoadThatHarms;
     const bool failed =
         std::bernoulli_distribution(harmed ? kFailuresUnderLoad : kUsualFailures)(random_);
-    outcomes_.note(rolloutOnTrial().id(),
-                   relay::VersionOutcome{.route = "route", .target = target, .failed = failed});
+    outcomes_.record(rolloutOnTrial().id(),
+                     relay::VersionOutcome{.route = "route", .target = target, .failed = failed});
   }
 
   const bool harmed_by_load_;
--- a/tests/unit/core/relay/route_table_test.cc
+++ b/tests/unit/core/relay/route_table_test.cc
@@ -35,7 +35,9 @@
 
 } // namespace
 
-TEST_CASE("A valid configuration has no fault") { CHECK_FALSE(relay::findFault(valid())); }
+TEST_CASE("A valid configuration has no fault") {
+  CHECK_FALSE(relay::findConfigurationError(valid()));
+}
 
 TEST_CASE("Each fault of a configuration is found and names its entry") {
   relay::Configuration made = valid();
@@ -45,7 +47,7 @@
   SUBCASE("no target") { made.routes[1].targets.clear(); }
   SUBCASE("no time") { made.routes[1].timeout_ms = 0; }
   SUBCASE("a prefix without its slash") { made.routes[1].path_prefix = "/x"; }
-  const auto fault = relay::findFault(made);
+  const auto fault = relay::findConfigurationError(made);
   REQUIRE(fault);
   CHECK(fault->message.find("route \"one.example/x/\"") != std::string::npos);
 }
@@ -53,7 +55,7 @@
 TEST_CASE("Two tenants that share a key are a fault that does not show the key") {
   relay::Configuration made = valid();
   made.tenants[1].keys.emplace_back("k1");
-  const auto fault = relay::findFault(made);
+  const auto fault = relay::findConfigurationError(made);
   REQUIRE(fault);
   CHECK(fault->message.find("tenant \"u\"") != std::string::npos);
   CHECK(fault->message.find("k1") == std::string::npos);
--- a/tests/unit/core/relay/runner_backoffs_test.cc
+++ b/tests/unit/core/relay/runner_backoffs_test.cc
@@ -111,7 +111,7 @@
       return true;
     }
     ++outcome.declines;
-    at.table.noteNotice(*runner, relay::RunnerNotice{.backoff_ms = kBackoffMs}, request.now_ms);
+    at.table.applyNotice(*runner, relay::RunnerNotice{.backoff_ms = kBackoffMs}, request.now_ms);
     at.table.endAttempt(*runner, relay::AttemptOutcome::Refused, request.now_ms);
     at.asked[runner->entry.id()].push_back({.at_ms = request.now_ms});
     request.excluded.push_back(runner->entry.id());
@@ -138,7 +138,7 @@
                                  .zone = "z",
                                  .now_ms = now_ms,
                                  .engine = true,
-                                 .standing = {.draw = random()}};
+                                 .rank = {.draw = random()}};
     ++outcome.requests;
     outcome.served += serve(at, std::move(request), random, outcome) ? 1 : 0;
   }
@@ -185,7 +185,7 @@
 relay::RunnerTable tableAfter(const relay::RunnerNotice& notice) {
   relay::RunnerTable table{relay::RunnerTableOptions{}};
   table.setList(oneRunner(1, 5), 0);
-  table.noteNotice(*table.runners()[0], notice, 1000);
+  table.applyNotice(*table.runners()[0], notice, 1000);
   return table;
 }
 
@@ -200,7 +200,7 @@
   table.setList(oneRunner(3, 5), 2000);
   CHECK_FALSE(getsRequests(table, 2000));
   // An answer to an attempt that began before counts for the runner that is listed now.
-  table.noteNotice(*before, kAsksForThreeSeconds, 3000);
+  table.applyNotice(*before, kAsksForThreeSeconds, 3000);
   CHECK_FALSE(getsRequests(table, 5999));
   CHECK(getsRequests(table, 6000));
 }
@@ -219,20 +219,21 @@
   table.setList(oneRunner(2, 9), 1500);
   CHECK(getsRequests(table, 1500));
   // A late answer of the former process says nothing of the present one.
-  table.noteNotice(*former, kAsksForThreeSeconds, 1600);
+  table.applyNotice(*former, kAsksForThreeSeconds, 1600);
   CHECK(getsRequests(table, 1600));
 }
 
 TEST_CASE("A shorter backoff ends a longer one that a runner asked for before") {
   relay::RunnerTable table = tableAfter(kAsksForThreeSeconds);
-  table.noteNotice(*table.runners()[0], relay::RunnerNotice{.backoff_ms = 100}, 1500);
+  table.applyNotice(*table.runners()[0], relay::RunnerNotice{.backoff_ms = 100}, 1500);
   CHECK_FALSE(getsRequests(table, 3999));
   CHECK(getsRequests(table, 4000));
 }
 
 TEST_CASE("The rest of a stream that broke goes to a runner that wants no requests") {
   relay::RunnerTable table = tableAfter(kAsksForThreeSeconds);
-  const relay::RunnerRequest rest{.service = "s", .zone = "z", .now_ms = 2000, .past_limits = true};
+  const relay::RunnerRequest rest{
+      .service = "s", .zone = "z", .now_ms = 2000, .ignores_limits = true};
   CHECK(std::get<relay::NoRunner>(table.choose(rest)) == relay::NoRunner::AllBackingOff);
 }
 
@@ -254,12 +255,13 @@
 
 TEST_CASE("Backoffs of runners that are over take memory for good") {
   relay::RunnerBackoffs backoffs;
-  constexpr uint64_t kLives = 100'000;
-  for (uint64_t life = 1; life <= kLives; ++life) {
-    backoffs.note(life, relay::RunnerNotice{.backoff_ms = 10}, static_cast<int64_t>(life));
+  constexpr uint64_t kIncarnations = 100'000;
+  for (uint64_t incarnation = 1; incarnation <= kIncarnations; ++incarnation) {
+    backoffs.note(incarnation, relay::RunnerNotice{.backoff_ms = 10},
+                  static_cast<int64_t>(incarnation));
   }
   CHECK(backoffs.size() <= 4096);
-  CHECK(backoffs.find(kLives).holds(kLives + 9));
+  CHECK(backoffs.find(kIncarnations).holds(kIncarnations + 9));
 }
 
 } // namespace workshatch::test
--- a/tests/unit/core/relay/runner_end_counts_test.cc
+++ b/tests/unit/core/relay/runner_crash_counts_test.cc
@@ -5,15 +5,15 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/runner_end_counts.h"
-#include "core/relay/runner_end_times.h"
+#include "core/relay/runner_crash_counts.h"
+#include "core/relay/runner_crash_times.h"
 
 namespace workshatch::test {
 
 namespace {
 
 using relay::RequestIdentity;
-using relay::RunnerEndCounts;
+using relay::RunnerCrashCounts;
 
 constexpr uint64_t kWallMs = 1'700'000'000'000;
 
@@ -37,20 +37,20 @@
     *end->mutable_request() = relay::messageOf(request(content));
     end->set_runner(runner);
     end->set_age_ms(age_ms);
-    counts_.take(renewal, now_ms_);
+    counts_.addReport(renewal, now_ms_);
   }
 
-  void ranWhole(uint64_t content) {
+  void requestCompleted(uint64_t content) {
     v1::LeaseRenewal renewal;
     *renewal.add_ran_whole() = relay::messageOf(request(content));
-    counts_.take(renewal, now_ms_);
+    counts_.addReport(renewal, now_ms_);
   }
 
   /// Lets time pass, and commits the orders that are given. @return contents put into quarantine.
   std::vector<uint64_t> after(int64_t ms) {
     now_ms_ += ms;
     std::vector<uint64_t> put;
-    for (const v1::QuarantineOrder& order : counts_.due(now_ms_, wallMs())) {
+    for (const v1::QuarantineOrder& order : counts_.dueOrders(now_ms_, wallMs())) {
       if (order.begin()) {
         put.push_back(order.request().request().content());
         *list_.add_requests() = order.request();
@@ -69,7 +69,7 @@
 private:
   uint64_t wallMs() const { return kWallMs + static_cast<uint64_t>(now_ms_); }
 
-  RunnerEndCounts counts_;
+  RunnerCrashCounts counts_;
   v1::QuarantineList list_;
   std::vector<uint64_t> released_;
   int64_t now_ms_ = 1'000'000;
@@ -197,14 +197,14 @@
   Leader leader;
   leader.runnerEnded(11, {1});
   leader.runnerEnded(12, {1});
-  leader.ranWhole(1);
+  leader.requestCompleted(1);
   leader.runnerEnded(13, {1});
   CHECK(leader.after(kBetweenEndsMs).empty());
   leader.runnerEnded(21, {2});
   leader.runnerEnded(22, {2});
   leader.runnerEnded(23, {2});
   CHECK(leader.after(kBetweenEndsMs) == Contents{2});
-  leader.ranWhole(2);
+  leader.requestCompleted(2);
   leader.after(kBetweenEndsMs);
   CHECK(leader.released() == Contents{2});
 }
@@ -213,7 +213,7 @@
   Leader leader;
   leader.runnerEnded(11, {1});
   leader.runnerEnded(12, {1});
-  leader.after(relay::kEndCountsMs);
+  leader.after(relay::kCrashWindowMs);
   leader.runnerEnded(13, {1});
   CHECK(leader.after(kBetweenEndsMs).empty());
   leader.runnerEnded(14, {1});
@@ -226,17 +226,17 @@
 }
 
 TEST_CASE("An order that does not come into force is given again") {
-  RunnerEndCounts counts;
+  RunnerCrashCounts counts;
   v1::LeaseRenewal renewal;
   for (uint64_t runner = 11; runner <= 13; ++runner) {
     v1::RunnerEnd* end = renewal.add_runner_ends();
     *end->mutable_request() = relay::messageOf(request(1));
     end->set_runner(runner);
   }
-  counts.take(renewal, 0);
-  CHECK(counts.due(100, kWallMs).size() == 1);
-  CHECK(counts.due(200, kWallMs).empty());
-  CHECK(counts.due(700, kWallMs).size() == 1);
+  counts.addReport(renewal, 0);
+  CHECK(counts.dueOrders(100, kWallMs).size() == 1);
+  CHECK(counts.dueOrders(200, kWallMs).empty());
+  CHECK(counts.dueOrders(700, kWallMs).size() == 1);
 }
 
 TEST_CASE("A flood of different requests leaves those with most ends") {
--- /dev/null
+++ b/tests/unit/core/relay/runner_crash_monitor_test.cc
@@ -0,0 +1,104 @@
+/// @file
+/// What a relay takes for the end of a runner, and which requests it reports.
+#include <doctest/doctest.h>
+
+#include "core/relay/runner_crash_monitor.h"
+#include "core/relay/runner_crash_times.h"
+
+namespace workshatch::test {
+
+namespace {
+
+using relay::RequestIdentity;
+using relay::RunnerCrashMonitor;
+using AfterDisconnect = RunnerCrashMonitor::AfterDisconnect;
+
+constexpr uint64_t kRunner = 7;
+
+RequestIdentity request(uint64_t content) {
+  return RequestIdentity{.caller = 1, .content = content};
+}
+
+int reportsIn(RunnerCrashMonitor& monitor, bool first_on_link, int64_t now_ms) {
+  v1::LeaseRenewal renewal;
+  monitor.fill(renewal, first_on_link, now_ms);
+  return renewal.runner_ends_size();
+}
+
+} // namespace
+
+TEST_CASE("A cut is reported once the runner's address refuses connections") {
+  RunnerCrashMonitor monitor;
+  CHECK(monitor.recordDisconnect(kRunner, request(1), 1000) == AfterDisconnect::Probe);
+  CHECK(monitor.recordDisconnect(kRunner, request(2), 1001) == AfterDisconnect::Nothing);
+  CHECK(reportsIn(monitor, false, 1002) == 0);
+  CHECK(monitor.recordConnectionRefused(kRunner, 1003));
+  // The connection of a third request is found cut a moment later.
+  CHECK(monitor.recordDisconnect(kRunner, request(3), 1010) == AfterDisconnect::Report);
+  v1::LeaseRenewal renewal;
+  monitor.fill(renewal, false, 1100);
+  REQUIRE(renewal.runner_ends_size() == 3);
+  CHECK(renewal.runner_ends(0).runner() == kRunner);
+  CHECK(renewal.runner_ends(0).age_ms() == 100);
+  CHECK(renewal.runner_ends(2).request().content() == 3);
+}
+
+TEST_CASE("A runner that breaks an answer off and goes on listening has not ended") {
+  RunnerCrashMonitor monitor;
+  CHECK(monitor.recordDisconnect(kRunner, request(1), 1000) == AfterDisconnect::Probe);
+  monitor.recordListening(kRunner);
+  // It is refused later, when the process is restarted in a planned way.
+  CHECK_FALSE(monitor.recordConnectionRefused(kRunner, 1400));
+  CHECK(reportsIn(monitor, true, 1500) == 0);
+}
+
+TEST_CASE("A refusal long after a cut is of another event") {
+  RunnerCrashMonitor monitor;
+  monitor.recordDisconnect(kRunner, request(1), 1000);
+  CHECK_FALSE(monitor.recordConnectionRefused(kRunner, 2500));
+  CHECK(monitor.recordDisconnect(kRunner, request(2), 4000) == AfterDisconnect::Probe);
+}
+
+TEST_CASE("A runner that breaks off answer after answer is looked at now and then only") {
+  RunnerCrashMonitor monitor;
+  int looks = 0;
+  for (int64_t now_ms = 1000; now_ms < 6000; now_ms += 10) {
+    looks += monitor.recordDisconnect(kRunner, request(static_cast<uint64_t>(now_ms)), now_ms) ==
+             AfterDisconnect::Probe;
+    monitor.recordListening(kRunner);
+  }
+  CHECK(looks <= 11);
+}
+
+TEST_CASE("A report is told once on a link, and again on the next") {
+  RunnerCrashMonitor monitor;
+  monitor.recordDisconnect(kRunner, request(1), 1000);
+  monitor.recordConnectionRefused(kRunner, 1001);
+  CHECK(reportsIn(monitor, false, 1100) == 1);
+  CHECK(reportsIn(monitor, false, 1200) == 0);
+  CHECK(reportsIn(monitor, true, 1300) == 1);
+  CHECK(reportsIn(monitor, true, 1000 + relay::kCrashWindowMs) == 0);
+}
+
+TEST_CASE("A request that ran whole lately is not reported") {
+  RunnerCrashMonitor monitor;
+  monitor.recordCompleted(request(1), 1000);
+  CHECK(monitor.recordDisconnect(kRunner, request(1), 20'000) == AfterDisconnect::Nothing);
+  monitor.recordConnectionRefused(kRunner, 20'001);
+  CHECK(reportsIn(monitor, true, 20'002) == 0);
+  CHECK(monitor.recordDisconnect(8, request(1), 100'000) == AfterDisconnect::Probe);
+}
+
+TEST_CASE("Memory of whole runs and of reports is bounded") {
+  RunnerCrashMonitor monitor;
+  for (uint64_t content = 1; content <= 20'000; ++content) {
+    monitor.recordCompleted(request(content), 1000);
+    monitor.recordDisconnect(kRunner, request(1'000'000 + content), 1000);
+  }
+  CHECK(monitor.completedRecently(request(20'000), 1000));
+  CHECK_FALSE(monitor.completedRecently(request(1), 1000));
+  monitor.recordConnectionRefused(kRunner, 1001);
+  CHECK(reportsIn(monitor, true, 1002) <= 256);
+}
+
+} // namespace workshatch::test
--- a/tests/unit/core/relay/runner_life_test.cc
+++ b/tests/unit/core/relay/runner_incarnation_test.cc
@@ -9,11 +9,11 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/led_runner_list.h"
-#include "core/relay/place_owner.h"
+#include "core/relay/leader_runner_list.h"
 #include "core/relay/runner_entry.h"
 #include "core/relay/runner_list_history.h"
 #include "core/relay/runner_table.h"
+#include "core/relay/slot_owner.h"
 
 namespace workshatch::test {
 
@@ -42,7 +42,7 @@
 }
 
 /// @return whether the table takes the second list's runner for another process.
-bool isOtherLife(uint64_t born_ms, uint64_t born_later_ms) {
+bool isOtherIncarnation(uint64_t born_ms, uint64_t born_later_ms) {
   relay::RunnerTable table = tableOf(listOf(1, born_ms));
   const auto former = table.runners()[0];
   table.setList(listOf(2, born_later_ms), 2000);
@@ -80,23 +80,23 @@
   CHECK(table.isCopySource(present, 2000));
   CHECK_FALSE(table.ownedRunner(former, 2000).listed);
   // Its owner counts anew, also when a use of the former process is told late.
-  relay::PlaceOwner owner;
+  relay::SlotOwner owner;
   v1::PlaceUse use;
   use.set_runner(former);
   use.set_held(4);
   use.set_incarnation(1);
   use.set_sequence(1);
-  owner.noteUse("relay-1", use, 2100);
+  owner.recordUsage("relay-1", use, 2100);
   CHECK(owner.loadOf(present) == 0);
 }
 
 TEST_CASE("Any other start is another process, also an earlier one, or one where none was told") {
-  CHECK(isOtherLife(5000, 9000));
-  CHECK(isOtherLife(5000, 4000));
-  CHECK(isOtherLife(0, 9000));
-  CHECK(isOtherLife(9000, 0));
-  CHECK_FALSE(isOtherLife(5000, 5000));
-  CHECK_FALSE(isOtherLife(0, 0));
+  CHECK(isOtherIncarnation(5000, 9000));
+  CHECK(isOtherIncarnation(5000, 4000));
+  CHECK(isOtherIncarnation(0, 9000));
+  CHECK(isOtherIncarnation(9000, 0));
+  CHECK_FALSE(isOtherIncarnation(5000, 5000));
+  CHECK_FALSE(isOtherIncarnation(0, 0));
 }
 
 TEST_CASE("The leader tells relays of a runner that is back, and maps no load of before to it") {
@@ -114,12 +114,12 @@
   REQUIRE_FALSE(isError(taken));
   REQUIRE(std::get<v1::RunnerList>(taken).runners_size() == 1);
   CHECK(std::get<v1::RunnerList>(taken).runners(0).born_ms() == 9000);
-  relay::LedRunnerList led;
+  relay::LeaderRunnerList led;
   relay::LeaderVersions versions;
   versions.begin(1);
   led.begin(versions, 0);
-  led.readWhileLeading(listOf(0, 5000), versions);
-  CHECK(led.readWhileLeading(listOf(0, 9000), versions) == relay::ListNews::Runners);
+  led.updateAsLeader(listOf(0, 5000), versions);
+  CHECK(led.updateAsLeader(listOf(0, 9000), versions) == relay::ListChange::Runners);
 }
 
 TEST_CASE("Of two entries under one id that of the later process counts, else the first") {
--- a/tests/unit/core/relay/runner_table_test.cc
+++ b/tests/unit/core/relay/runner_table_test.cc
@@ -9,7 +9,7 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/load_sums.h"
+#include "core/relay/load_totals.h"
 #include "core/relay/runner_table.h"
 
 namespace workshatch::test {
@@ -31,7 +31,7 @@
 
 relay::RunnerRequest wish(uint64_t cache_key = 0) {
   return relay::RunnerRequest{
-      .service = "s", .cache_key = cache_key, .zone = "z", .now_ms = 1000, .standing = {.draw = 1}};
+      .service = "s", .cache_key = cache_key, .zone = "z", .now_ms = 1000, .rank = {.draw = 1}};
 }
 
 std::optional<relay::RunnerChoice> chosen(relay::RunnerTable& table,
@@ -41,7 +41,7 @@
   if (made == nullptr) {
     return std::nullopt;
   }
-  table.noteSent(request, *made);
+  table.recordSent(request, *made);
   return *made;
 }
 
@@ -77,11 +77,11 @@
   sums.add_in_progress(9);
   sums.add_in_progress(0);
   sums.add_in_progress(9);
-  table.setSums(sums, table.ownLoads(1000), 1000);
+  table.setLoadTotals(sums, table.ownLoads(1000), 1000);
   CHECK(chosen(table, wish())->runner->entry.id() == "r1");
   sums.set_list_version(6);
   sums.set_in_progress(1, 100);
-  table.setSums(sums, table.ownLoads(1000), 1000);
+  table.setLoadTotals(sums, table.ownLoads(1000), 1000);
   CHECK(chosen(table, wish())->runner->load() == 0);
   relay::RunnerRequest later = wish();
   later.now_ms = 10'000;
@@ -131,7 +131,7 @@
   }
   CHECK(std::get<relay::NoRunner>(table.choose(request)) == relay::NoRunner::AllFull);
   relay::RunnerRequest urgent = request;
-  urgent.past_limits = true;
+  urgent.ignores_limits = true;
   CHECK(chosen(table, urgent));
   table.endAttempt(*table.runners()[1], relay::AttemptOutcome::Succeeded, 1000);
   CHECK(chosen(table, request)->runner == table.runners()[1]);
@@ -146,7 +146,7 @@
   table.setList(list, 0);
   relay::RunnerRequest request = wish(42);
   request.engine = true;
-  request.standing.priority = 9;
+  request.rank.priority = 9;
   const auto home = chosen(table, request)->runner;
   // More than its places, and under twice the mean plus three.
   for (const auto& runner : table.runners()) {
@@ -219,7 +219,7 @@
     for (int asked = 0; asked < 4; ++asked) {
       (void)table->choose(wish(42));
     }
-    table->setSums(sums, table->ownLoads(1000), 1000);
+    table->setLoadTotals(sums, table->ownLoads(1000), 1000);
     relays.push_back(std::move(table));
   }
   std::mt19937_64 random(before);
@@ -227,7 +227,7 @@
     for (auto& table : relays) {
       relay::RunnerRequest request = wish(42);
       request.engine = true;
-      request.standing.draw = random();
+      request.rank.draw = random();
       if (chosen(*table, request)) {
         table->beginAttempt(*table->runners()[0], 1000);
       }
@@ -265,7 +265,7 @@
   later.now_ms = 1600;
   CHECK(chosen(table, later)->runner != home);
   CHECK(table.ownLoads(1600).suspects_size() == 1);
-  table.noteSignOfLife(*home, 1600);
+  table.recordActivity(*home, 1600);
   CHECK(chosen(table, later)->runner == home);
   CHECK(table.ownLoads(1600).suspects_size() == 0);
 }
@@ -274,7 +274,7 @@
   relay::RunnerTable table({});
   table.setList(listOf(4, 7), 0);
   const auto home = chosen(table, wish(42))->runner;
-  relay::LoadSums sums(7, 4);
+  relay::LoadTotals sums(7, 4);
   v1::RunnerLoads report = table.ownLoads(1000);
   for (uint32_t i = 0; i < 4; ++i) {
     if (table.runners()[i] == home) {
@@ -282,10 +282,10 @@
     }
   }
   sums.add(report);
-  CHECK(sums.sums().suspects_size() == 0);
+  CHECK(sums.totals().suspects_size() == 0);
   sums.add(report);
-  REQUIRE(sums.sums().suspects_size() == 1);
-  table.setSums(sums.sums(), table.ownLoads(1000), 1000);
+  REQUIRE(sums.totals().suspects_size() == 1);
+  table.setLoadTotals(sums.totals(), table.ownLoads(1000), 1000);
   CHECK(chosen(table, wish(42))->runner != home);
   relay::RunnerRequest later = wish(42);
   later.now_ms = 2000;
--- a/tests/unit/core/relay/runner_updates_test.cc
+++ b/tests/unit/core/relay/runner_updates_test.cc
@@ -4,7 +4,7 @@
 
 #include <doctest/doctest.h>
 
-#include "core/relay/load_sums.h"
+#include "core/relay/load_totals.h"
 #include "core/relay/runner_list_history.h"
 #include "core/relay/runner_loads.h"
 #include "ports/seeded_random.h"
@@ -130,14 +130,14 @@
   report.set_list_version(3);
   relay::setCounts(report, {5, 6, 7});
   report.add_suspects(2);
-  relay::LoadSums sums(4, 3);
+  relay::LoadTotals sums(4, 3);
   sums.add(report);
-  CHECK(*relay::countsOf(sums.sums(), 3) == std::vector<uint32_t>{0, 0, 0});
-  sums.addMoved(report, *positions);
-  sums.addMoved(report, *positions);
-  CHECK(*relay::countsOf(sums.sums(), 3) == std::vector<uint32_t>{12, 0, 14});
-  REQUIRE(sums.sums().suspects_size() == 1);
-  CHECK(sums.sums().suspects(0) == 2);
+  CHECK(*relay::countsOf(sums.totals(), 3) == std::vector<uint32_t>{0, 0, 0});
+  sums.addFromOlderList(report, *positions);
+  sums.addFromOlderList(report, *positions);
+  CHECK(*relay::countsOf(sums.totals(), 3) == std::vector<uint32_t>{12, 0, 14});
+  REQUIRE(sums.totals().suspects_size() == 1);
+  CHECK(sums.totals().suspects(0) == 2);
 }
 
 } // namespace workshatch::test
--- /dev/null
+++ b/tests/unit/core/relay/slot_limits_test.cc
@@ -0,0 +1,54 @@
+/// @file
+/// How full a runner may be for a request.
+#include <initializer_list>
+#include <limits>
+
+#include <doctest/doctest.h>
+
+#include "core/relay/slot_limits.h"
+
+namespace workshatch::test {
+
+using relay::RequestRank;
+using relay::slotLimit;
+using relay::SlotLimitOptions;
+
+TEST_CASE("The last places of an engine are kept for the more urgent requests") {
+  const SlotLimitOptions options;
+  CHECK(slotLimit(options, 48, true, RequestRank{.priority = 0, .draw = 1}) == 48);
+  CHECK(slotLimit(options, 48, true, RequestRank{.priority = 1, .draw = 1}) == 45);
+  CHECK(slotLimit(options, 48, true, RequestRank{.priority = 2, .draw = 1}) == 43);
+  CHECK(slotLimit(options, 48, true, RequestRank{.priority = 2, .over_share = true, .draw = 1}) ==
+        38);
+}
+
+TEST_CASE("Nothing is kept from more than half of the places") {
+  const SlotLimitOptions options;
+  for (uint32_t priority = 0; priority <= 9; ++priority) {
+    for (const bool over_share : {false, true}) {
+      CAPTURE(priority);
+      const RequestRank rank{.priority = priority, .over_share = over_share, .draw = 1};
+      CHECK(slotLimit(options, 48, true, rank) > 24);
+      CHECK(slotLimit(options, 12, true, rank) > 6);
+      CHECK(slotLimit(options, 1, true, rank) == 1);
+    }
+  }
+}
+
+TEST_CASE("A few requests of each priority count as the most urgent") {
+  const SlotLimitOptions options;
+  int as_urgent = 0;
+  for (uint64_t draw = 0; draw < 800; ++draw) {
+    const uint32_t limit = slotLimit(options, 48, true, RequestRank{.priority = 9, .draw = draw});
+    as_urgent += limit == 48 ? 1 : 0;
+  }
+  CHECK(as_urgent == 100);
+}
+
+TEST_CASE("A plain service may have a short queue; unknown places are no limit") {
+  const SlotLimitOptions options;
+  CHECK(slotLimit(options, 6, false, RequestRank{}) == 18);
+  CHECK(slotLimit(options, 0, true, RequestRank{}) == std::numeric_limits<uint32_t>::max());
+}
+
+} // namespace workshatch::test
--- a/tests/unit/core/relay/tenant_shares_test.cc
+++ b/tests/unit/core/relay/tenant_shares_test.cc
@@ -21,8 +21,8 @@
 
 TEST_CASE("A tenant with far more than an equal part is over its share on a busy fleet only") {
   const relay::Configuration configuration = threeTenants(7);
-  relay::TenantUse first;
-  relay::TenantUse second;
+  relay::TenantUsage first;
+  relay::TenantUsage second;
   for (int i = 0; i < 20; ++i) {
     first.begin("b");
     second.begin("b");
@@ -31,7 +31,7 @@
     first.begin("a");
     second.begin("c");
   }
-  relay::TenantSums sums(7);
+  relay::TenantTotals sums(7);
   sums.add(first.report(configuration));
   sums.add(second.report(configuration));
   CHECK(sums.overShare(60).positions_size() == 0);
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("Reports of another configuration and damaged ones do not count") {
-  relay::TenantSums sums(7);
+  relay::TenantTotals sums(7);
   v1::TenantLoads report;
   report.set_configuration_version(6);
   report.add_positions(0);
@@ -60,7 +60,7 @@
   report.set_positions(0, 4'000'000'000);
   sums.add(report);
   CHECK(sums.overShare(0).positions_size() == 0);
-  relay::TenantUse use;
+  relay::TenantUsage use;
   use.begin("a");
   use.end("a");
   use.end("a");
--- a/tests/unit/core/relay/work_time_test.cc
+++ b/tests/unit/core/relay/work_time_test.cc
@@ -44,9 +44,9 @@
       if (!std::bernoulli_distribution(requests_per_s / 1000)(random_)) {
         continue;
       }
-      const auto offer = relay::nextOffer(
-          {}, relay::PlacementQuestion{
-                  .candidates = runners_, .standing = {.draw = random_()}, .now_ms = now_ms});
+      const auto offer = relay::nextOffer({}, relay::PlacementQuery{.candidates = runners_,
+                                                                    .rank = {.draw = random_()},
+                                                                    .now_ms = now_ms});
       const auto chosen = static_cast<size_t>(
           std::find(runners_.begin(), runners_.end(), offer->runner) - runners_.begin());
       const double factor = slow_until_ms_[chosen] > now_ms ? kSlowFactor : 1;
@@ -54,7 +54,7 @@
       ++requests;
       if (figures_told_) {
         const double told = chosen == liar ? factor * told_times_ : factor;
-        relay::noteWorkTime(*runners_[chosen], told, now_ms);
+        relay::recordWorkTime(*runners_[chosen], told, now_ms);
       }
     }
     return total / static_cast<double>(requests);
@@ -104,14 +104,14 @@
 TEST_CASE("A figure counts for a second, within bounds") {
   relay::Runner runner;
   CHECK(relay::workTimeFactor(runner, 10) == 1);
-  relay::noteWorkTime(runner, 3, 10);
+  relay::recordWorkTime(runner, 3, 10);
   CHECK(relay::workTimeFactor(runner, 10) == 3);
-  relay::noteWorkTime(runner, 1, 100);
+  relay::recordWorkTime(runner, 1, 100);
   CHECK(relay::workTimeFactor(runner, 100) == 2);
   CHECK(relay::workTimeFactor(runner, 1100) == 1);
-  relay::noteWorkTime(runner, 500, 2000);
-  CHECK(relay::workTimeFactor(runner, 2000) == relay::kMostWorkTimeFactor);
-  relay::noteWorkTime(runner, 0.01, 4000);
+  relay::recordWorkTime(runner, 500, 2000);
+  CHECK(relay::workTimeFactor(runner, 2000) == relay::kMaxWorkTimeFactor);
+  relay::recordWorkTime(runner, 0.01, 4000);
   CHECK(relay::workTimeFactor(runner, 4000) == 1);
 }
 
--- a/tests/unit/core/routing/fleet_table_test.cc
+++ b/tests/unit/core/routing/fleet_table_test.cc
@@ -28,18 +28,18 @@
 TEST_CASE("A router sends requests to all engines of a runner that asked for none") {
   routing::FleetTable table = tableOfTwo();
   CHECK(usableEngines(table, 1000) == 3);
-  table.askedForBackoff("tired", 3000, 1000);
+  table.recordBackoffRequest("tired", 3000, 1000);
   CHECK(usableEngines(table, 1000) == 1);
   // A success or a failure of an earlier request does not end it.
-  table.succeeded("tired", 1500);
-  table.failed("tired", 1500);
+  table.recordSuccess("tired", 1500);
+  table.recordFailure("tired", 1500);
   CHECK(usableEngines(table, 3999) == 1);
   CHECK(usableEngines(table, 4000) == 3);
 }
 
 TEST_CASE("A runner that asked for no requests is found as if it wanted them") {
   routing::FleetTable table = tableOfTwo();
-  table.askedForBackoff("tired", 3000, 1000);
+  table.recordBackoffRequest("tired", 3000, 1000);
   REQUIRE(table.find("tired/1", 2000));
   CHECK(table.find("tired/1", 2000)->backing_off);
   CHECK_FALSE(table.find("tired/1", 4000)->backing_off);
--- a/tests/unit/daemon/configuration_transfer_test.cc
+++ b/tests/unit/daemon/configuration_transfer_test.cc
@@ -27,13 +27,13 @@
 TEST_CASE("A stored configuration gives back its document, a damaged one an error") {
   v1::StoredConfiguration stored = storedAt(4, 100);
   CHECK(stored.compressed_document().size() < documentAt(4, 100).size() / 3);
-  CHECK(std::get<std::string>(daemon::documentOf(stored)) == documentAt(4, 100));
+  CHECK(std::get<std::string>(daemon::unpackConfiguration(stored)) == documentAt(4, 100));
   stored.mutable_compressed_document()->pop_back();
-  CHECK(isError(daemon::documentOf(stored)));
+  CHECK(isError(daemon::unpackConfiguration(stored)));
 }
 
 TEST_CASE("A receiver of nothing gets the whole document compressed, then small differences") {
-  daemon::ConfigurationSender sender;
+  daemon::ConfigurationUpdateBuilder sender;
   daemon::ReceivedConfiguration receiver;
   sender.add(storedAt(3, 1000));
   const v1::ConfigurationUpdate& whole = sender.updateFrom(receiver.version());
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE("A receiver with an unknown version gets the whole document") {
-  daemon::ConfigurationSender sender;
+  daemon::ConfigurationUpdateBuilder sender;
   sender.add(storedAt(9, 10));
   CHECK(sender.updateFrom(5).base_version() == 0);
   for (uint64_t version = 10; version < 30; ++version) {
@@ -60,7 +60,7 @@
 }
 
 TEST_CASE("An older update changes nothing, an unfit one is an error and forgetting mends it") {
-  daemon::ConfigurationSender sender;
+  daemon::ConfigurationUpdateBuilder sender;
   daemon::ReceivedConfiguration receiver;
   sender.add(storedAt(1, 10));
   sender.add(storedAt(2, 10));
--- a/tests/unit/daemon/control/control_role_test.cc
+++ b/tests/unit/daemon/control/control_role_test.cc
@@ -10,7 +10,7 @@
 #include "adapters/http/http_types.h"
 #include "adapters/system_clock.h"
 #include "daemon/control/control_role.h"
-#include "unit/stops_to_play.h"
+#include "unit/stop_count.h"
 #include "unit/wait_until.h"
 
 namespace workshatch::test {
@@ -81,13 +81,12 @@
 
 TEST_CASE("A control role without a group ends, told once or twice, while a peer is silent") {
   const SilentPeer silent;
-  const int stops = stopsToPlay(10);
+  const int stops = stopCount(10);
   for (int seed = 1; seed <= stops; ++seed) {
     const auto machine = std::make_shared<Machine>(seed);
     // Some stops come before the first hello, some while one is under way.
-    constexpr uint64_t kLongestLifeMs = 300;
-    std::this_thread::sleep_for(
-        std::chrono::milliseconds(SeededRandom(seed).below(kLongestLifeMs)));
+    constexpr uint64_t kMaxRunTimeMs = 300;
+    std::this_thread::sleep_for(std::chrono::milliseconds(SeededRandom(seed).below(kMaxRunTimeMs)));
     REQUIRE_MESSAGE(endsInTime([machine] {
                       CHECK(machine->stop() == daemon::StopOutcome::Ended);
                       CHECK(machine->stop() == daemon::StopOutcome::Ended);
--- a/tests/unit/daemon/control/control_stop_test.cc
+++ b/tests/unit/daemon/control/control_stop_test.cc
@@ -7,7 +7,7 @@
 #include <doctest/doctest.h>
 
 #include "unit/daemon/control/control_fixture.h"
-#include "unit/stops_to_play.h"
+#include "unit/stop_count.h"
 
 namespace workshatch::test {
 
@@ -15,17 +15,17 @@
 
 /// Operators that call again and again, on connections of their own, until they are told to stop:
 /// for the status, for a change, for another member.
-class PressingOperators {
+class RepeatingOperators {
 public:
-  explicit PressingOperators(uint64_t replica_id) : replica_id_(replica_id) {}
-  ~PressingOperators() { stop(); }
-  PressingOperators(const PressingOperators&) = delete;
-  PressingOperators& operator=(const PressingOperators&) = delete;
+  explicit RepeatingOperators(uint64_t replica_id) : replica_id_(replica_id) {}
+  ~RepeatingOperators() { stop(); }
+  RepeatingOperators(const RepeatingOperators&) = delete;
+  RepeatingOperators& operator=(const RepeatingOperators&) = delete;
 
   void start() {
     constexpr int kOperators = 8;
     for (int i = 0; i < kOperators; ++i) {
-      threads_.emplace_back([this] { press(); });
+      threads_.emplace_back([this] { callRepeatedly(); });
     }
   }
   void stop() {
@@ -39,7 +39,7 @@
   int endedByDeadline() const { return ended_by_deadline_; }
 
 private:
-  void press() {
+  void callRepeatedly() {
     TestOperator caller;
     for (int call = 0; !stopped_; ++call) {
       if (callOnce(caller, call).error_code() == grpc::StatusCode::DEADLINE_EXCEEDED) {
@@ -94,22 +94,22 @@
 }
 
 TEST_CASE("A control replica ends while operators go on calling, and each call is answered") {
-  const int stops = stopsToPlay(20);
+  const int stops = stopCount(20);
   int late = 0;
   for (int seed = 1; seed <= stops; ++seed) {
     const auto machine = std::make_shared<ControlMachine>(seed);
     machine->start();
     SeededRandom random(seed);
-    PressingOperators operators(seed);
+    RepeatingOperators operators(seed);
     operators.start();
     // Some stops come in the first election, some while the replica leads, and then changes, a
     // change of the membership or a snapshot are under way.
-    constexpr uint64_t kLongestLifeMs = 120;
-    std::this_thread::sleep_for(std::chrono::milliseconds(random.below(kLongestLifeMs)));
+    constexpr uint64_t kMaxRunTimeMs = 120;
+    std::this_thread::sleep_for(std::chrono::milliseconds(random.below(kMaxRunTimeMs)));
 
     REQUIRE_MESSAGE(endsInTime([machine] { machine->stop(); }), "stop of seed ", seed);
     const daemon::CallCounts counts = machine->replica->callCounts();
-    CHECK(counts.taken == counts.answered + counts.refused);
+    CHECK(counts.accepted == counts.answered + counts.refused);
     operators.stop();
     CHECK_MESSAGE(operators.endedByDeadline() == 0, "seed ", seed);
     late += operators.endedByDeadline();
@@ -127,10 +127,10 @@
   machine->start();
   TestOperator first;
   REQUIRE(waitUntil([&] { return first.isServed(); }));
-  const uint64_t taken_before = machine->replica->callCounts().taken;
+  const uint64_t taken_before = machine->replica->callCounts().accepted;
   machine->disk.full = true;
   auto change = std::async(std::launch::async, [] { return TestOperator().apply(2 * kStopLimit); });
-  REQUIRE(waitUntil([&] { return machine->replica->callCounts().taken > taken_before; }));
+  REQUIRE(waitUntil([&] { return machine->replica->callCounts().accepted > taken_before; }));
 
   REQUIRE(endsInTime([machine] { machine->stop(); }));
   // The change is neither stored nor lost: the operator sends it again to another replica.
@@ -159,17 +159,17 @@
   machine->start();
   TestOperator first;
   REQUIRE(waitUntil([&] { return first.isServed(); }));
-  const uint64_t taken_before = machine->replica->callCounts().taken;
+  const uint64_t taken_before = machine->replica->callCounts().accepted;
   machine->disk.hanging = true;
   auto change = std::async(std::launch::async, [] { return TestOperator().apply(2 * kStopLimit); });
-  REQUIRE(waitUntil([&] { return machine->replica->callCounts().taken > taken_before; }));
+  REQUIRE(waitUntil([&] { return machine->replica->callCounts().accepted > taken_before; }));
 
   std::atomic<bool> given_up{false};
   CHECK(endsInTime(
       [machine, &given_up] { given_up = machine->stop() == daemon::StopOutcome::DiskHangs; }));
   CHECK(given_up);
   CHECK(change.get().error_code() == grpc::StatusCode::UNAVAILABLE);
-  machine->disk.goOn();
+  machine->disk.resume();
 }
 
 } // namespace workshatch::test
--- a/tests/unit/daemon/fleet/ending_request_test.cc
+++ b/tests/unit/daemon/fleet/crashing_request_test.cc
@@ -28,16 +28,16 @@
 
 /// Time from the third end until no relay in touch may send the request to a runner.
 constexpr std::chrono::milliseconds kBound{3000};
-constexpr const char* kDeadly = "ko";
+constexpr const char* kCrashBody = "ko";
 
 /// Sends the request that ends runners until it has ended so many, at one relay after the other.
 void endRunners(TestFleet& fleet, size_t runners) {
   size_t relay = 0;
-  REQUIRE(within(kPatience, [&] {
-    if (fleet.endedRunners() < runners) {
-      fleet.ask(relay++ % fleet.relayCount(), kDeadly);
+  REQUIRE(within(kTestTimeout, [&] {
+    if (fleet.crashedRunners() < runners) {
+      fleet.sendRequest(relay++ % fleet.relayCount(), kCrashBody);
     }
-    return fleet.endedRunners() >= runners;
+    return fleet.crashedRunners() >= runners;
   }));
 }
 
@@ -56,17 +56,17 @@
   }
   for (size_t round = 0; round < 3; ++round) {
     for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
-      const std::string answer = fleet.ask(relay, kDeadly);
+      const std::string answer = fleet.sendRequest(relay, kCrashBody);
       CHECK(answer.starts_with("HTTP/1.1 503"));
     }
   }
-  CHECK(fleet.endedRunners() == 3);
+  CHECK(fleet.crashedRunners() == 3);
   // Another request of the same caller is served, and what another caller sends reaches a runner.
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
-    CHECK(fleet.ask(relay, "hi").find("whole") != std::string::npos);
+    CHECK(fleet.sendRequest(relay, "hi").find("whole") != std::string::npos);
   }
-  CHECK(fleet.ask(0, kDeadly, "key-2").starts_with("HTTP/1.1 502"));
-  CHECK(fleet.endedRunners() == 4);
+  CHECK(fleet.sendRequest(0, kCrashBody, "key-2").starts_with("HTTP/1.1 502"));
+  CHECK(fleet.crashedRunners() == 4);
 }
 
 TEST_CASE("A request stays in quarantine when all processes end and start again") {
@@ -79,11 +79,12 @@
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
     fleet.restartRelay(relay);
     // The first request that is served at all shows that the relay has its first lease.
-    REQUIRE(within(kPatience,
-                   [&] { return fleet.ask(relay, "hi").find("whole") != std::string::npos; }));
-    CHECK(fleet.ask(relay, kDeadly).starts_with("HTTP/1.1 503"));
+    REQUIRE(within(kTestTimeout, [&] {
+      return fleet.sendRequest(relay, "hi").find("whole") != std::string::npos;
+    }));
+    CHECK(fleet.sendRequest(relay, kCrashBody).starts_with("HTTP/1.1 503"));
   }
-  CHECK(fleet.endedRunners() == 3);
+  CHECK(fleet.crashedRunners() == 3);
 }
 
 TEST_CASE("Ends that were told to a leader which then ended are told to the next") {
@@ -92,10 +93,10 @@
   fleet.restartGroup();
   endRunners(fleet, 3);
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
-    CHECK(within(kPatience, [&] { return refuses(fleet, relay); }));
-    CHECK(fleet.ask(relay, kDeadly).starts_with("HTTP/1.1 503"));
+    CHECK(within(kTestTimeout, [&] { return refuses(fleet, relay); }));
+    CHECK(fleet.sendRequest(relay, kCrashBody).starts_with("HTTP/1.1 503"));
   }
-  CHECK(fleet.endedRunners() == 3);
+  CHECK(fleet.crashedRunners() == 3);
 }
 
 namespace {
@@ -133,7 +134,7 @@
   TestFleet fleet(FleetOptions{.relays = 9,
                                .runners = 12,
                                .first_port = 18480,
-                               .runners_back_after = std::chrono::milliseconds(2000),
+                               .runners_restart_after = std::chrono::milliseconds(2000),
                                .policy = relay::Policy{.quarantine = quarantine}});
   std::atomic<size_t> asked{0};
   std::atomic<size_t> served{0};
@@ -143,18 +144,18 @@
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < kBadClients; ++i) {
       clients.push_back(std::make_unique<Client>(std::chrono::milliseconds(300), end, [&] {
-        fleet.ask(next_relay++ % fleet.relayCount(), kDeadly);
+        fleet.sendRequest(next_relay++ % fleet.relayCount(), kCrashBody);
       }));
     }
     for (int i = 0; i < kOtherClients; ++i) {
       clients.push_back(std::make_unique<Client>(std::chrono::milliseconds(100), end, [&] {
         ++asked;
-        const std::string answer = fleet.ask(next_relay++ % fleet.relayCount(), "hi");
+        const std::string answer = fleet.sendRequest(next_relay++ % fleet.relayCount(), "hi");
         served += answer.find("whole") != std::string::npos ? 1 : 0;
       }));
     }
   }
-  return Series{.ends = fleet.runnerEnds(), .others_asked = asked, .others_served = served};
+  return Series{.ends = fleet.runnerCrashes(), .others_asked = asked, .others_served = served};
 }
 
 } // namespace
--- a/tests/unit/daemon/fleet/rollout_test.cc
+++ b/tests/unit/daemon/fleet/rollout_test.cc
@@ -27,7 +27,7 @@
     for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
       threads_.emplace_back([this, &fleet, relay] {
         while (!stopping_) {
-          const std::string answer = fleet.ask(relay, "hi");
+          const std::string answer = fleet.sendRequest(relay, "hi");
           ++(answer.starts_with("HTTP/1.1 200") ? served_ : failed_);
         }
       });
@@ -62,7 +62,7 @@
   return fleet.operate(http::Verb::get, "/rollout/s").body();
 }
 
-std::string answerOf(RolloutState state) { return TestDialect().rolloutAnswer(state, "v2"); }
+std::string answerOf(RolloutState state) { return TestDialect().rolloutStatusBody(state, "v2"); }
 
 http::Status begin(const TestFleet& fleet, const std::string& wish) {
   return fleet.operate(http::Verb::post, "/roll-out", wish).result();
@@ -77,7 +77,7 @@
   CHECK(begin(fleet, "s v2 4000") == http::Status::conflict);
   CHECK(begin(fleet, "s v3 4000") == http::Status::conflict);
   fleet.startNewRunners();
-  REQUIRE(within(kPatience, [&] { return fleet.requestsAtNewRunners() > 0; }));
+  REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtNewRunners() > 0; }));
   CHECK(stateOf(fleet) == answerOf(RolloutState::Running));
   const auto share_kept = [&] {
     const auto at_new = static_cast<double>(fleet.requestsAtNewRunners());
@@ -89,10 +89,11 @@
   while (std::chrono::steady_clock::now() < trial_end) {
     REQUIRE(share_kept());
   }
-  REQUIRE(within(kPatience, [&] { return stateOf(fleet) == answerOf(RolloutState::Succeeded); }));
+  REQUIRE(
+      within(kTestTimeout, [&] { return stateOf(fleet) == answerOf(RolloutState::Succeeded); }));
   const size_t at_former = fleet.requestsAtRunners();
   const size_t at_new = fleet.requestsAtNewRunners();
-  REQUIRE(within(kPatience, [&] { return fleet.requestsAtNewRunners() > at_new + 50; }));
+  REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtNewRunners() > at_new + 50; }));
   CHECK(fleet.requestsAtRunners() == at_former);
   callers.stop();
   CHECK(callers.failed() == 0);
@@ -108,7 +109,8 @@
   SteadyCallers callers(fleet);
   REQUIRE(begin(fleet, "s v2 8000") == http::Status::ok);
   fleet.startNewRunners();
-  REQUIRE(within(kPatience, [&] { return stateOf(fleet) == answerOf(RolloutState::RolledBack); }));
+  REQUIRE(
+      within(kTestTimeout, [&] { return stateOf(fleet) == answerOf(RolloutState::RolledBack); }));
   const auto all_know = [&] {
     for (size_t relay = 0; relay < kRelays; ++relay) {
       const std::string line = "workshatch_relay_rollouts{phase=\"rolled_back\"} 1";
@@ -118,7 +120,7 @@
     }
     return true;
   };
-  REQUIRE(within(kPatience, all_know));
+  REQUIRE(within(kTestTimeout, all_know));
   const size_t at_new = fleet.requestsAtNewRunners();
   const size_t at_former = fleet.requestsAtRunners();
   CHECK(static_cast<double>(at_new) <=
@@ -128,7 +130,7 @@
   for (size_t relay = 0; relay < kRelays; ++relay) {
     fleet.restartRelay(relay);
   }
-  REQUIRE(within(kPatience, [&] { return fleet.requestsAtRunners() > at_former + 100; }));
+  REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtRunners() > at_former + 100; }));
   CHECK(fleet.requestsAtNewRunners() == at_new);
   CHECK(stateOf(fleet) == answerOf(RolloutState::RolledBack));
 }
@@ -143,13 +145,13 @@
     SteadyCallers callers(fleet);
     REQUIRE(begin(fleet, "s v2 6000") == http::Status::ok);
     fleet.startNewRunners();
-    REQUIRE(within(kPatience, [&] { return fleet.requestsAtNewRunners() > 0; }));
+    REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtNewRunners() > 0; }));
     fleet.restartGroup();
     const auto at_new = static_cast<double>(fleet.requestsAtNewRunners());
     const auto at_all = at_new + static_cast<double>(fleet.requestsAtRunners());
     CHECK(at_new <= kTrialShare * at_all + kTrialSlack);
     const RolloutState end = good ? RolloutState::Succeeded : RolloutState::RolledBack;
-    CHECK(within(kPatience, [&] { return stateOf(fleet) == answerOf(end); }));
+    CHECK(within(kTestTimeout, [&] { return stateOf(fleet) == answerOf(end); }));
     callers.stop();
   }
 }
--- a/tests/unit/daemon/fleet/runner_notice_fleet_test.cc
+++ b/tests/unit/daemon/fleet/runner_notice_fleet_test.cc
@@ -19,14 +19,14 @@
 size_t askAll(TestFleet& fleet, size_t requests) {
   size_t whole = 0;
   for (size_t i = 0; i < requests; ++i) {
-    whole += fleet.ask(i % kRelays, "hi").find("whole") != std::string::npos ? 1 : 0;
+    whole += fleet.sendRequest(i % kRelays, "hi").find("whole") != std::string::npos ? 1 : 0;
   }
   return whole;
 }
 
-/// @return whether all relays serve within kPatience.
+/// @return whether all relays serve within kTestTimeout.
 bool allServe(TestFleet& fleet) {
-  return within(kPatience, [&] { return askAll(fleet, kRelays) == kRelays; });
+  return within(kTestTimeout, [&] { return askAll(fleet, kRelays) == kRelays; });
 }
 
 } // namespace
@@ -34,7 +34,7 @@
 TEST_CASE("A group that starts again lets relays forget what runners asked for") {
   TestFleet fleet(FleetOptions{.relays = kRelays, .runners = 4, .first_port = 18600});
   fleet.runner(0).declineAll("W-Backoff: 600000\r\n");
-  fleet.runner(1).alsoSay("W-Leaving: 1\r\n");
+  fleet.runner(1).setExtraHeaders("W-Leaving: 1\r\n");
   const size_t before_backoff = fleet.runner(0).requests();
   const size_t before_leaving = fleet.runner(1).requests();
   // Each relay is told once; that request may be refused, since the budget of repeats begins empty.
@@ -57,7 +57,7 @@
 TEST_CASE("A list that lacks runners for a moment lets relays forget what they asked for") {
   TestFleet fleet(FleetOptions{.relays = kRelays, .runners = 4, .first_port = 18620});
   fleet.runner(0).declineAll("W-Backoff: 600000\r\n");
-  fleet.runner(1).alsoSay("W-Leaving: 1\r\n");
+  fleet.runner(1).setExtraHeaders("W-Leaving: 1\r\n");
   CHECK(askAll(fleet, kEnough) >= kEnough - kRelays);
   const size_t at_backoff = fleet.runner(0).requests();
   const size_t at_leaving = fleet.runner(1).requests();
--- a/tests/unit/daemon/fleet/test_fleet.h
+++ b/tests/unit/daemon/fleet/test_fleet.h
@@ -28,17 +28,17 @@
 
 /// A runner whose process ends, with all its connections and its listener, when it begins to run
 /// the request with a given body. Serves one connection at a time.
-class EndingRunner {
+class CrashingRunner {
 public:
-  /// @param deadly_body two bytes
-  /// @param back_after when it starts again, at its address; zero: never
-  explicit EndingRunner(std::string deadly_body, std::chrono::milliseconds back_after = {})
+  /// @param crash_body two bytes
+  /// @param restart_after when it starts again, at its address; zero: never
+  explicit CrashingRunner(std::string crash_body, std::chrono::milliseconds restart_after = {})
       : acceptor_(context_, {boost::asio::ip::make_address("127.0.0.1"), 0}),
         endpoint_(acceptor_.local_endpoint()),
         address_("127.0.0.1:" + std::to_string(endpoint_.port())),
-        deadly_body_(std::move(deadly_body)), back_after_(back_after),
+        crash_body_(std::move(crash_body)), restart_after_(restart_after),
         thread_([this] { serve(); }) {}
-  ~EndingRunner() {
+  ~CrashingRunner() {
     {
       const std::lock_guard lock(mutex_);
       stopping_ = true;
@@ -51,8 +51,8 @@
     wake.connect(*http::parseEndpoint(address_), ignored);
     thread_.join();
   }
-  EndingRunner(const EndingRunner&) = delete;
-  EndingRunner& operator=(const EndingRunner&) = delete;
+  CrashingRunner(const CrashingRunner&) = delete;
+  CrashingRunner& operator=(const CrashingRunner&) = delete;
 
   const std::string& address() const { return address_; }
   /// From now on one of so many requests fails; zero: none.
@@ -65,7 +65,7 @@
     more_headers_ = more_headers;
   }
   /// From now on its answers have more headers. @param more_headers each with its line end
-  void alsoSay(const std::string& more_headers) {
+  void setExtraHeaders(const std::string& more_headers) {
     const std::lock_guard lock(mutex_);
     more_headers_ = more_headers;
   }
@@ -75,9 +75,9 @@
   /// Requests that it has run or declined.
   size_t requests() const { return requests_; }
   /// @return whether its process is gone now.
-  bool ended() const { return ended_; }
+  bool crashed() const { return crashed_; }
   /// Times that its process ended.
-  size_t ends() const { return ends_; }
+  size_t crashes() const { return crash_count_; }
 
 private:
   void serve() {
@@ -92,10 +92,10 @@
       if (request.empty()) {
         continue;
       }
-      if (request.ends_with(deadly_body_)) {
+      if (request.ends_with(crash_body_)) {
         // Before the caller can see it.
-        ended_ = true;
-        ++ends_;
+        crashed_ = true;
+        ++crash_count_;
         acceptor_.close(failure);
         socket.close(failure);
         if (!startAgain()) {
@@ -107,7 +107,7 @@
       const size_t fails_one_of = fails_one_of_;
       const bool fails = fails_one_of != 0 && number % fails_one_of == 0;
       // Each connection serves one request.
-      say(socket, answerTo(request, fails));
+      writeTo(socket, answerTo(request, fails));
     }
   }
 
@@ -126,15 +126,15 @@
   /// @return false: it stays down.
   bool startAgain() {
     std::unique_lock lock(mutex_);
-    const bool stopped = stop_.wait_for(lock, back_after_, [this] { return stopping_.load(); });
-    if (stopped || back_after_.count() == 0) {
+    const bool stopped = stop_.wait_for(lock, restart_after_, [this] { return stopping_.load(); });
+    if (stopped || restart_after_.count() == 0) {
       return false;
     }
     acceptor_.open(endpoint_.protocol());
     acceptor_.set_option(boost::asio::socket_base::reuse_address(true));
     acceptor_.bind(endpoint_);
     acceptor_.listen();
-    ended_ = false;
+    crashed_ = false;
     return true;
   }
 
@@ -160,8 +160,8 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   const boost::asio::ip::tcp::endpoint endpoint_;
   const std::string address_;
-  const std::string deadly_body_;
-  const std::chrono::milliseconds back_after_;
+  const std::string crash_body_;
+  const std::chrono::milliseconds restart_after_;
   std::mutex mutex_;
   std::condition_variable stop_;
   /// Guarded by mutex_.
@@ -169,8 +169,8 @@
   std::string more_headers_;
   std::atomic<bool> listed_{true};
   std::atomic<bool> stopping_{false};
-  std::atomic<bool> ended_{false};
-  std::atomic<size_t> ends_{0};
+  std::atomic<bool> crashed_{false};
+  std::atomic<size_t> crash_count_{0};
   std::atomic<size_t> fails_one_of_{0};
   std::atomic<size_t> requests_{0};
   std::thread thread_;
@@ -206,7 +206,7 @@
   /// The first of some ports that no other test uses.
   uint16_t first_port = 0;
   /// When a runner that ended starts again; zero: never.
-  std::chrono::milliseconds runners_back_after{0};
+  std::chrono::milliseconds runners_restart_after{0};
   relay::Policy policy;
 };
 
@@ -217,22 +217,23 @@
       : policy_(options.policy), first_port_(options.first_port),
         folder_(std::filesystem::temp_directory_path() /
                 ("workshatch-fleet-test-" + std::to_string(options.first_port))),
-        list_([this](auto& socket, const auto&) { tellRunners(socket); }) {
+        list_([this](auto& socket, const auto&) { sendRunnerList(socket); }) {
     std::filesystem::remove_all(folder_);
     std::filesystem::create_directories(folder_);
     for (size_t i = 0; i < options.runners; ++i) {
-      runners_.push_back(std::make_unique<EndingRunner>("ko", options.runners_back_after));
+      runners_.push_back(std::make_unique<CrashingRunner>("ko", options.runners_restart_after));
     }
     for (size_t i = 0; i < options.new_runners; ++i) {
-      new_runners_.push_back(std::make_unique<EndingRunner>("ko"));
+      new_runners_.push_back(std::make_unique<CrashingRunner>("ko"));
     }
     startGroup(true);
-    REQUIRE(within(kPatience, [&] { return configurationTaken(); }));
+    REQUIRE(within(kTestTimeout, [&] { return configurationTaken(); }));
     for (size_t i = 0; i < options.relays; ++i) {
       relays_.push_back(startRelay(i));
     }
     for (size_t i = 0; i < options.relays; ++i) {
-      REQUIRE(within(kPatience, [&] { return ask(i, "hi").find("whole") != std::string::npos; }));
+      REQUIRE(within(kTestTimeout,
+                     [&] { return sendRequest(i, "hi").find("whole") != std::string::npos; }));
     }
   }
   ~TestFleet() {
@@ -259,7 +260,7 @@
   }
 
   /// Sends a request with a body of two bytes to a relay. @return the whole answer.
-  std::string ask(size_t relay, const std::string& body, const std::string& key = "key-1") {
+  std::string sendRequest(size_t relay, const std::string& body, const std::string& key = "key-1") {
     // Each try has an id of its own.
     const std::string id = "q" + std::to_string(++tries_);
     return answerTo(requestText(CallerRequest{.id = id, .key = key, .body = body}),
@@ -268,8 +269,8 @@
 
   /// From now on the platform lists the runners of version "v2".
   void startNewRunners() { new_runners_started_ = true; }
-  EndingRunner& newRunner(size_t number) { return *new_runners_[number]; }
-  EndingRunner& runner(size_t number) { return *runners_[number]; }
+  CrashingRunner& newRunner(size_t number) { return *new_runners_[number]; }
+  CrashingRunner& runner(size_t number) { return *runners_[number]; }
   size_t requestsAtNewRunners() const { return requestsAt(new_runners_); }
   size_t requestsAtRunners() const { return requestsAt(runners_); }
   /// An operator's call. @return the answer; an empty body and status 0 without one.
@@ -281,15 +282,15 @@
     return isError(answer) ? none : std::get<http::Response>(std::move(answer));
   }
 
-  size_t endedRunners() const {
+  size_t crashedRunners() const {
     return static_cast<size_t>(std::count_if(runners_.begin(), runners_.end(),
-                                             [](const auto& runner) { return runner->ended(); }));
+                                             [](const auto& runner) { return runner->crashed(); }));
   }
   /// Times that processes of runners ended.
-  size_t runnerEnds() const {
+  size_t runnerCrashes() const {
     size_t ends = 0;
     for (const auto& runner : runners_) {
-      ends += runner->ends();
+      ends += runner->crashes();
     }
     return ends;
   }
@@ -310,7 +311,7 @@
     std::unique_ptr<daemon::GroupRole> role;
   };
 
-  static size_t requestsAt(const std::vector<std::unique_ptr<EndingRunner>>& runners) {
+  static size_t requestsAt(const std::vector<std::unique_ptr<CrashingRunner>>& runners) {
     size_t requests = 0;
     for (const auto& runner : runners) {
       requests += runner->requests();
@@ -381,18 +382,18 @@
     return !isError(answer) && std::get<http::Response>(answer).result() == http::Status::ok;
   }
 
-  void tellRunners(ScriptedRunner::Socket& socket) const {
+  void sendRunnerList(ScriptedRunner::Socket& socket) const {
     std::string lines;
     for (size_t i = 0; i < runners_.size(); ++i) {
-      if (!runners_[i]->ended() && runners_[i]->listed()) {
+      if (!runners_[i]->crashed() && runners_[i]->listed()) {
         lines += "runner-" + std::to_string(i) + " " + runners_[i]->address() + " v1\n";
       }
     }
     for (size_t i = 0; new_runners_started_ && i < new_runners_.size(); ++i) {
       lines += "new-" + std::to_string(i) + " " + new_runners_[i]->address() + " v2\n";
     }
-    say(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " +
-                    std::to_string(lines.size()) + "\r\n\r\n" + lines);
+    writeTo(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " +
+                        std::to_string(lines.size()) + "\r\n\r\n" + lines);
   }
 
   const relay::Policy policy_;
@@ -402,8 +403,8 @@
   const TestDialect dialect_{};
   const OneRouteCodec configurations_{};
   const LinesCodec lists_{};
-  std::vector<std::unique_ptr<EndingRunner>> runners_;
-  std::vector<std::unique_ptr<EndingRunner>> new_runners_;
+  std::vector<std::unique_ptr<CrashingRunner>> runners_;
+  std::vector<std::unique_ptr<CrashingRunner>> new_runners_;
   std::atomic<bool> new_runners_started_{false};
   ScriptedRunner list_;
   std::unique_ptr<Group> group_;
--- a/tests/unit/daemon/group/group_fixture.h
+++ b/tests/unit/daemon/group/group_fixture.h
@@ -43,7 +43,7 @@
 
   struct Machine {
     /// Time of the machine, which may sleep.
-    SleepingClock clock;
+    SuspendableClock clock;
     std::unique_ptr<MemoryStore> disk;
     std::unique_ptr<GroupReplica> replica;
   };
@@ -59,14 +59,14 @@
     options.first_start = first_start;
     options.voters = voters_;
     options.tick_ms = 10;
-    options.gone_ms = 200;
+    options.silent_voter_limit_ms = 200;
     options.snapshot_entries = 4;
     machine.replica = std::make_unique<GroupReplica>(context_, options, *machine.disk,
                                                      machine.clock, random_, transportOf(address));
-    machine.replica->onHelloWanted([this](const std::string& to, const v1::ReplicaHello& hello) {
+    machine.replica->setHelloSender([this](const std::string& to, const v1::ReplicaHello& hello) {
       deliver(to, [hello](GroupReplica& replica) { replica.helloReceived(hello); });
     });
-    machine.replica->onJoinWanted([this](const std::string& to, const v1::JoinRequest& join) {
+    machine.replica->setJoinSender([this](const std::string& to, const v1::JoinRequest& join) {
       deliver(to, [join](GroupReplica& replica) { replica.joinReceived(join); });
     });
     REQUIRE_FALSE(isError(machine.replica->start()));
@@ -110,17 +110,17 @@
   /// Stores through whoever leads, again until it is acknowledged.
   bool store(uint64_t version) {
     bool stored = false;
-    bool asked = false;
+    bool pending = false;
     return runUntil([&] {
-      GroupReplica* leading = stored || asked ? nullptr : leader();
+      GroupReplica* leading = stored || pending ? nullptr : leader();
       if (leading != nullptr) {
-        asked = true;
+        pending = true;
         v1::StoredConfiguration configuration;
         configuration.set_version(version);
         configuration.set_compressed_document("v" + std::to_string(version));
         leading->store(configuration, [&](const CallOutcome<StoreOutcome>& outcome) {
           stored = outcome == CallOutcome<StoreOutcome>(StoreOutcome::Stored);
-          asked = false;
+          pending = false;
         });
       }
       return stored;
@@ -129,14 +129,14 @@
   /// Orders through whoever leads, again until it is acknowledged.
   bool order(const std::string& zone, bool begin) {
     bool stored = false;
-    bool asked = false;
+    bool pending = false;
     return runUntil([&] {
-      GroupReplica* leading = stored || asked ? nullptr : leader();
+      GroupReplica* leading = stored || pending ? nullptr : leader();
       if (leading != nullptr) {
-        asked = true;
+        pending = true;
         leading->order(evacuationOrder(zone, begin), [&](const CallOutcome<StoreOutcome>& outcome) {
           stored = outcome == CallOutcome<StoreOutcome>(StoreOutcome::Stored);
-          asked = false;
+          pending = false;
         });
       }
       return stored;
@@ -147,21 +147,21 @@
     REQUIRE(read().size() > 0);
     GroupReplica* leading = leader();
     REQUIRE(leading != nullptr);
-    return relay::zoneNames(leading->evacuations());
+    return relay::evacuatedZoneNames(leading->evacuations());
   }
   std::string read() {
     std::string document;
-    bool asked = false;
+    bool pending = false;
     runUntil([&] {
-      GroupReplica* leading = asked || !document.empty() ? nullptr : leader();
+      GroupReplica* leading = pending || !document.empty() ? nullptr : leader();
       if (leading != nullptr) {
-        asked = true;
+        pending = true;
         using Read = CallOutcome<const v1::StoredConfiguration*>;
         leading->read([&](const Read& read) {
           const auto* stored = std::get_if<const v1::StoredConfiguration*>(&read);
           const bool known = stored != nullptr && *stored != nullptr;
           document = known ? (*stored)->compressed_document() : "";
-          asked = false;
+          pending = false;
         });
       }
       return !document.empty();
--- a/tests/unit/daemon/group/group_replica_test.cc
+++ b/tests/unit/daemon/group/group_replica_test.cc
@@ -166,7 +166,8 @@
   CHECK(std::count(outcomes.begin(), outcomes.end(), kStored) == 0);
   group.cutOff(cut, false);
   REQUIRE(group.runUntil([&] { return group.at(cut).evacuations().zones_size() == 1; }));
-  CHECK(relay::zoneNames(group.at(cut).evacuations()) == std::vector<std::string>{"south"});
+  CHECK(relay::evacuatedZoneNames(group.at(cut).evacuations()) ==
+        std::vector<std::string>{"south"});
   REQUIRE(outcomes.size() == 1);
   CHECK(outcomes.front() == kNotLeader);
 }
@@ -200,13 +201,13 @@
 TEST_CASE("A follower that slept catches up") {
   Group group;
   startFirst(group);
-  std::string asleep;
+  std::string suspended;
   for (const char* address : {"a", "b", "c"}) {
-    asleep = group.at(address).leads() ? asleep : address;
+    suspended = group.at(address).leads() ? suspended : address;
   }
-  group.sleep(asleep, 3000);
+  group.sleep(suspended, 3000);
   REQUIRE(group.order("south", true));
-  REQUIRE(group.runUntil([&] { return group.at(asleep).evacuations().zones_size() == 1; }));
+  REQUIRE(group.runUntil([&] { return group.at(suspended).evacuations().zones_size() == 1; }));
 }
 
 TEST_CASE("What waits at a replica that ends is refused, and so is what comes later") {
@@ -236,7 +237,7 @@
   CHECK(outcomes == std::vector<CallOutcome<StoreOutcome>>{ends, ends});
   CHECK(reads_refused == 2);
   const daemon::CallCounts counts = replica.callCounts();
-  CHECK(counts.taken == counts.answered + counts.refused);
+  CHECK(counts.accepted == counts.answered + counts.refused);
 }
 
 } // namespace workshatch::test
--- a/tests/unit/daemon/group/group_role_test.cc
+++ b/tests/unit/daemon/group/group_role_test.cc
@@ -16,7 +16,7 @@
 #include "daemon/group/group_role.h"
 #include "ports/seeded_random.h"
 #include "unit/daemon/relay/relay_fixture.h"
-#include "unit/stops_to_play.h"
+#include "unit/stop_count.h"
 #include "unit/wait_until.h"
 
 namespace workshatch::test {
@@ -110,27 +110,27 @@
 };
 
 /// Operators that order and ask again and again, until they are told to stop.
-class PressingOrders {
+class RepeatingOperators {
 public:
-  PressingOrders() {
+  RepeatingOperators() {
     constexpr int kOperators = 4;
     for (int i = 0; i < kOperators; ++i) {
-      threads_.emplace_back([this] { press(); });
+      threads_.emplace_back([this] { callRepeatedly(); });
     }
   }
-  ~PressingOrders() {
+  ~RepeatingOperators() {
     stopped_ = true;
     for (std::thread& thread : threads_) {
       thread.join();
     }
   }
-  PressingOrders(const PressingOrders&) = delete;
-  PressingOrders& operator=(const PressingOrders&) = delete;
+  RepeatingOperators(const RepeatingOperators&) = delete;
+  RepeatingOperators& operator=(const RepeatingOperators&) = delete;
 
   int answered() const { return answered_; }
 
 private:
-  void press() {
+  void callRepeatedly() {
     while (!stopped_) {
       const std::string answer = OneReplica::call("POST", "/evacuate/south");
       answered_ += answer.starts_with("HTTP/1.1 ") ? 1 : 0;
@@ -145,15 +145,15 @@
 } // namespace
 
 TEST_CASE("A replica of the group ends while operators go on calling") {
-  const int stops = stopsToPlay(5);
+  const int stops = stopCount(5);
   for (int seed = 1; seed <= stops; ++seed) {
     OneReplica replica;
-    const PressingOrders operators;
+    const RepeatingOperators operators;
     // Some stops come before the first election, some while the replica leads.
-    constexpr uint64_t kShortestLifeMs = 50;
-    constexpr uint64_t kLongestLifeMs = 800;
+    constexpr uint64_t kMinRunTimeMs = 50;
+    constexpr uint64_t kMaxRunTimeMs = 800;
     std::this_thread::sleep_for(
-        std::chrono::milliseconds(kShortestLifeMs + SeededRandom(seed).below(kLongestLifeMs)));
+        std::chrono::milliseconds(kMinRunTimeMs + SeededRandom(seed).below(kMaxRunTimeMs)));
     REQUIRE_MESSAGE(replica.stop(), "stop of seed ", seed);
     CHECK(operators.answered() > 0);
   }
--- a/tests/unit/daemon/group/relay_hub_test.cc
+++ b/tests/unit/daemon/group/lease_service_test.cc
@@ -8,7 +8,7 @@
 #include <doctest/doctest.h>
 
 #include "adapters/link/framed_link.h"
-#include "daemon/group/relay_hub.h"
+#include "daemon/group/lease_service.h"
 #include "unit/daemon/group/group_fixture.h"
 
 namespace workshatch::test {
@@ -21,16 +21,16 @@
     leading = group.at(address).leads() ? address : leading;
   }
   constexpr double kLinkMbps = 100;
-  daemon::RelayHub hub(group.context(), group.at(leading), group.clock(), kLinkMbps);
+  daemon::LeaseService service(group.context(), group.at(leading), group.clock(), kLinkMbps);
   link::LinkListener listener(group.context());
   std::vector<std::shared_ptr<link::FramedLink>> links;
   constexpr const char* kAddress = "127.0.0.1:18261";
   REQUIRE_FALSE(isError(listener.listen(kAddress, [&](std::shared_ptr<link::FramedLink> link) {
     links.push_back(link);
     link->start(
-        [&hub, weak = std::weak_ptr(link)](const v1::Frame& frame) {
+        [&service, weak = std::weak_ptr(link)](const v1::Frame& frame) {
           if (const auto from = weak.lock()) {
-            hub.renewed(from, frame.renewal());
+            service.handleRenewal(from, frame.renewal());
           }
         },
         [] {});
@@ -81,16 +81,16 @@
   // A burst of 4 KB; the list is several times that.
   constexpr double kLinkMbps = 1;
   constexpr int kRelays = 4;
-  daemon::RelayHub hub(group.context(), group.at(leading), group.clock(), kLinkMbps);
+  daemon::LeaseService service(group.context(), group.at(leading), group.clock(), kLinkMbps);
   link::LinkListener listener(group.context());
   std::vector<std::shared_ptr<link::FramedLink>> links;
   constexpr const char* kAddress = "127.0.0.1:18262";
   REQUIRE_FALSE(isError(listener.listen(kAddress, [&](std::shared_ptr<link::FramedLink> link) {
     links.push_back(link);
     link->start(
-        [&hub, weak = std::weak_ptr(link)](const v1::Frame& frame) {
+        [&service, weak = std::weak_ptr(link)](const v1::Frame& frame) {
           if (const auto from = weak.lock()) {
-            hub.renewed(from, frame.renewal());
+            service.handleRenewal(from, frame.renewal());
           }
         },
         [] {});
@@ -127,7 +127,7 @@
     entry->set_id(std::to_string(random.next()));
     entry->set_address(std::to_string(random.next()));
   }
-  hub.runnersRead(list);
+  service.updateRunnerList(list);
   REQUIRE(group.runUntil([&] { return list_came_ms.size() == kRelays; }));
   // Each of them is some 10 KB, at 87 KB a second; nobody's lease waited for it.
   CHECK(list_came_ms.back() - list_came_ms.front() >= 150);
--- a/tests/unit/daemon/memory_store.h
+++ b/tests/unit/daemon/memory_store.h
@@ -45,7 +45,7 @@
   }
 
   /// Ends a hang.
-  void goOn() {
+  void resume() {
     hanging = false;
     hanging.notify_all();
   }
--- a/tests/unit/daemon/open_calls_test.cc
+++ b/tests/unit/daemon/open_calls_test.cc
@@ -40,7 +40,7 @@
 TEST_CASE("A call is answered once") {
   OpenCalls calls;
   Caller caller;
-  const ReplyCallback<std::string> answer = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> answer = calls.accept<std::string>(caller.callback());
   answer("first");
   answer("second");
   calls.end();
@@ -52,7 +52,7 @@
 TEST_CASE("A call that is open at the end is refused, and its late answer does nothing") {
   OpenCalls calls;
   Caller caller;
-  const ReplyCallback<std::string> answer = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> answer = calls.accept<std::string>(caller.callback());
   calls.end();
   answer("late");
   CHECK(caller.replies.empty());
@@ -64,7 +64,7 @@
   OpenCalls calls;
   calls.end();
   Caller caller;
-  const ReplyCallback<std::string> answer = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> answer = calls.accept<std::string>(caller.callback());
   CHECK(caller.refusals == 1);
   answer("late");
   CHECK(caller.replies.empty());
@@ -73,19 +73,19 @@
 TEST_CASE("Calls are refused for a while, and taken again, but not after the end") {
   OpenCalls calls;
   Caller caller;
-  const ReplyCallback<std::string> open = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> open = calls.accept<std::string>(caller.callback());
   calls.refuseAll();
   CHECK(caller.refusals == 1);
-  calls.take<std::string>(caller.callback());
+  calls.accept<std::string>(caller.callback());
   CHECK(caller.refusals == 2);
-  calls.takeAgain();
-  calls.take<std::string>(caller.callback())("reply");
+  calls.resumeAccepting();
+  calls.accept<std::string>(caller.callback())("reply");
   open("late");
   CHECK(caller.replies == std::vector<std::string>{"reply"});
   calls.end();
   calls.refuseAll();
-  calls.takeAgain();
-  calls.take<std::string>(caller.callback());
+  calls.resumeAccepting();
+  calls.accept<std::string>(caller.callback());
   CHECK(caller.refusals == 3);
 }
 
@@ -94,7 +94,7 @@
   ReplyCallback<std::string> answer;
   {
     OpenCalls calls;
-    answer = calls.take<std::string>(caller.callback());
+    answer = calls.accept<std::string>(caller.callback());
   }
   answer("after");
   CHECK(caller.replies == std::vector<std::string>{"after"});
@@ -112,7 +112,7 @@
     for (int thread = 0; thread < kThreads; ++thread) {
       callers.emplace_back([&] {
         for (int call = 0; call < kCallsPerThread; ++call) {
-          calls.take<int>([&](const CallOutcome<int>&) { ++outcomes; })(call);
+          calls.accept<int>([&](const CallOutcome<int>&) { ++outcomes; })(call);
         }
       });
     }
@@ -122,8 +122,8 @@
     }
     const CallCounts counts = calls.counts();
     CHECK(outcomes == kThreads * kCallsPerThread);
-    CHECK(counts.taken == kThreads * kCallsPerThread);
-    CHECK(counts.answered + counts.refused == counts.taken);
+    CHECK(counts.accepted == kThreads * kCallsPerThread);
+    CHECK(counts.answered + counts.refused == counts.accepted);
   }
 }
 
--- a/tests/unit/daemon/relay/relay_run_test.cc
+++ b/tests/unit/daemon/relay/active_request_test.cc
@@ -18,17 +18,17 @@
 /// The datagrams of a relay, and what it asks of the owners of runners.
 struct Places {
   std::shared_ptr<daemon::RelayPeers> peers;
-  std::shared_ptr<daemon::PlaceClient> client;
+  std::shared_ptr<daemon::SlotClient> client;
 };
 
 /// @param address for datagrams
 Places placesAt(TestRelay& relay, const std::string& address, uint32_t incarnation,
-                daemon::PlaceClient::RunnerSource runner_source) {
+                daemon::SlotClient::RunnerSource runner_source) {
   Places places;
   places.peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
   REQUIRE_FALSE(isError(places.peers->open(address)));
-  places.client = std::make_shared<daemon::PlaceClient>(places.peers, relay.state().clock,
-                                                        incarnation, std::move(runner_source));
+  places.client = std::make_shared<daemon::SlotClient>(places.peers, relay.state().clock,
+                                                       incarnation, std::move(runner_source));
   return places;
 }
 
@@ -37,16 +37,16 @@
   Places places =
       placesAt(relay, address, 1, [](uint64_t) { return relay::OwnedRunner{.listed = true}; });
   places.peers->setRelays({address});
-  relay.state().places = places.client;
+  relay.state().slot_client = places.client;
   return places;
 }
 
 /// Takes all three places that a plain service's only runner has for its one worker.
-std::vector<daemon::PlaceHold> takeThree(TestRelay& relay) {
+std::vector<daemon::SlotGuard> takeThree(TestRelay& relay) {
   const uint64_t fingerprint = relay.state().runners.runners()[0]->fingerprint;
-  std::vector<daemon::PlaceHold> taken;
+  std::vector<daemon::SlotGuard> taken;
   for (int i = 0; i < 3; ++i) {
-    taken.push_back(relay.state().places->hold(fingerprint));
+    taken.push_back(relay.state().slot_client->takeWithoutClaim(fingerprint));
   }
   return taken;
 }
@@ -54,11 +54,12 @@
 } // namespace
 
 TEST_CASE("A request reaches the runner without the key, with tenant, target and time left") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   relay.start();
-  const std::string answer = relay.ask("q1", "W-Tenant: forged\r\nX-Other: kept\r\n");
+  const std::string answer = relay.sendRequest("q1", "W-Tenant: forged\r\nX-Other: kept\r\n");
   CHECK(answer.starts_with("HTTP/1.1 200 OK"));
   CHECK(answer.find("W-Signature: s") != std::string::npos);
   CHECK(answer.ends_with("done"));
@@ -76,11 +77,12 @@
 }
 
 TEST_CASE("Headers that only the system may set never come from a caller") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   relay.start();
-  const std::string answer = relay.ask(
+  const std::string answer = relay.sendRequest(
       "q1", "W-Reserved: forged\r\nw-runner: forged\r\nW-PRIORITY: forged\r\nW-Fetch: forged\r\n");
   CHECK(answer.ends_with("done"));
   CHECK(runner.lastRequest().find("forged") == std::string::npos);
@@ -92,13 +94,14 @@
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   relay.start();
-  CHECK(relay.ask("", "").starts_with("HTTP/1.1 400"));
-  CHECK(relay.ask("q1\r\nW-Key: other").starts_with("HTTP/1.1 401"));
+  CHECK(relay.sendRequest("", "").starts_with("HTTP/1.1 400"));
+  CHECK(relay.sendRequest("q1\r\nW-Key: other").starts_with("HTTP/1.1 401"));
   CHECK(runner.requests() == 0);
 }
 
 TEST_CASE("A caller's patience that is no time leaves its request without an answer") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   relay.start();
@@ -117,27 +120,29 @@
   relay.addRunner("runner-1", breaking.address());
   relay.addRunner("runner-2", breaking.address());
   relay.start();
-  CHECK(relay.ask("q1").starts_with("HTTP/1.1 502"));
+  CHECK(relay.sendRequest("q1").starts_with("HTTP/1.1 502"));
   CHECK(breaking.requests() == 1);
 }
 
 TEST_CASE("A runner that declined is followed by another; all declining is a true refusal") {
   const std::string declined =
       "HTTP/1.1 503 Full\r\nW-Request: q1\r\nW-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-  ScriptedRunner full([&](auto& socket, const auto&) { say(socket, declined); });
-  ScriptedRunner free([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner full([&](auto& socket, const auto&) { writeTo(socket, declined); });
+  ScriptedRunner free(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", full.address());
   relay.start();
-  const std::string refused = relay.ask("q1");
+  const std::string refused = relay.sendRequest("q1");
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("Retry-After") != std::string::npos);
   relay.addRunner("runner-2", free.address());
-  CHECK(relay.ask("q1").ends_with("done"));
+  CHECK(relay.sendRequest("q1").ends_with("done"));
 }
 
 TEST_CASE("A request that finds all runners full is refused at once, unheard") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   relay::Route route = testRoute(RouteKind::RunOnce, 1);
   // A wait would last for a fifth of this.
   route.objective_ms = 60'000;
@@ -146,7 +151,7 @@
   const auto busy = relay.state().runners.runners()[0];
   busy->in_progress = 3;
   relay.start();
-  const std::string refused = relay.ask("q1");
+  const std::string refused = relay.sendRequest("q1");
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("Retry-After") != std::string::npos);
   CHECK(refused.find("all_full") != std::string::npos);
@@ -154,17 +159,18 @@
   CHECK(relay.state().stats.outcomes["all_full"] == 1);
   CHECK(runner.requests() == 0);
   boost::asio::post(relay.context(), [&] { busy->in_progress = 2; });
-  CHECK(relay.ask("q1").ends_with("done"));
+  CHECK(relay.sendRequest("q1").ends_with("done"));
 }
 
 TEST_CASE("A place is taken at the owner before a request is sent, and given back at its end") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address(), 1);
   const auto places = ownPlaces(relay, "127.0.0.1:18303");
-  std::vector<daemon::PlaceHold> taken = takeThree(relay);
+  std::vector<daemon::SlotGuard> taken = takeThree(relay);
   relay.start();
-  const std::string refused = relay.ask("q1");
+  const std::string refused = relay.sendRequest("q1");
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("all_full") != std::string::npos);
   CHECK(runner.requests() == 0);
@@ -175,14 +181,15 @@
     given_back.set_value();
   });
   given_back.get_future().wait();
-  CHECK(relay.ask("q1").find("done") != std::string::npos);
-  CHECK(relay.ask("q1").find("done") != std::string::npos);
+  CHECK(relay.sendRequest("q1").find("done") != std::string::npos);
+  CHECK(relay.sendRequest("q1").find("done") != std::string::npos);
   CHECK(places.client->counts().granted == 2);
   CHECK(places.client->counts().refused == 1);
 }
 
 TEST_CASE("With a waiting line a request waits a little for a place, and is then refused unheard") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   relay::Route route = testRoute(RouteKind::RunOnce, 1);
   route.objective_ms = 1000;
   TestRelay relay(route, relay::Policy{.waiting_line = true});
@@ -192,7 +199,7 @@
   busy->in_progress = 3;
   relay.start();
   const auto begin = std::chrono::steady_clock::now();
-  const std::string refused = relay.ask("q1");
+  const std::string refused = relay.sendRequest("q1");
   const auto waited = std::chrono::steady_clock::now() - begin;
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("Retry-After") != std::string::npos);
@@ -204,20 +211,21 @@
   boost::asio::steady_timer free_place(relay.context(), std::chrono::milliseconds(50));
   free_place.async_wait([&](boost::system::error_code) {
     busy->in_progress = 2;
-    relay.state().line.callNext("s");
+    relay.state().queue.wakeNext("s");
   });
-  CHECK(relay.ask("q1").ends_with("done"));
+  CHECK(relay.sendRequest("q1").ends_with("done"));
 }
 
 TEST_CASE("A request that waited asks the owners from the first again") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   relay::Route route = testRoute(RouteKind::RunOnce, 1);
   // It waits for a fifth of this at most.
   route.objective_ms = 10'000;
   TestRelay relay(route, relay::Policy{.waiting_line = true});
   relay.addRunner("runner-1", runner.address(), 1);
   const auto places = ownPlaces(relay, "127.0.0.1:18304");
-  std::vector<daemon::PlaceHold> taken = takeThree(relay);
+  std::vector<daemon::SlotGuard> taken = takeThree(relay);
   relay.start();
   std::thread frees([&] {
     // Once the request waits, a place becomes free and the first in line is called.
@@ -225,43 +233,43 @@
     while (!waits) {
       std::promise<void> looked;
       boost::asio::post(relay.context(), [&] {
-        waits = relay.state().line.length("s") == 1;
+        waits = relay.state().queue.length("s") == 1;
         if (waits) {
           taken.pop_back();
-          relay.state().line.callNext("s");
+          relay.state().queue.wakeNext("s");
         }
         looked.set_value();
       });
       looked.get_future().wait();
     }
   });
-  CHECK(relay.ask("q1").find("done") != std::string::npos);
+  CHECK(relay.sendRequest("q1").find("done") != std::string::npos);
   frees.join();
 }
 
 TEST_CASE("A repeatable request goes on to another runner after a failure") {
   ScriptedRunner failing([](auto& socket, const auto&) {
-    say(socket, signedAnswer("q1", "bad", "500 Internal Server Error"));
+    writeTo(socket, signedAnswer("q1", "bad", "500 Internal Server Error"));
   });
   ScriptedRunner working(
-      [](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::Repeatable, 2));
   relay.addRunner("runner-1", failing.address());
   relay.addRunner("runner-2", working.address());
   relay.start();
   for (int i = 0; i < 4; ++i) {
-    CHECK(relay.ask("q1").ends_with("done"));
+    CHECK(relay.sendRequest("q1").ends_with("done"));
   }
 }
 
 TEST_CASE("The failure of a runner goes back as it is when nothing else may be tried") {
   ScriptedRunner failing([](auto& socket, const auto&) {
-    say(socket, signedAnswer("q1", "bad", "500 Internal Server Error"));
+    writeTo(socket, signedAnswer("q1", "bad", "500 Internal Server Error"));
   });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", failing.address());
   relay.start();
-  const std::string answer = relay.ask("q1");
+  const std::string answer = relay.sendRequest("q1");
   CHECK(answer.starts_with("HTTP/1.1 500"));
   CHECK(answer.find("W-Signature: s") != std::string::npos);
   CHECK(answer.ends_with("bad"));
@@ -277,24 +285,24 @@
   SUBCASE("unsigned") { bytes = "HTTP/1.1 200 OK\r\nW-Request: q1\r\nContent-Length: 0\r\n\r\n"; }
   SUBCASE("not HTTP") { bytes = "nonsense\r\n\r\n"; }
   ScriptedRunner spoiling([&](auto& socket, const auto&) {
-    say(socket, bytes);
+    writeTo(socket, bytes);
     socket.close();
   });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", spoiling.address());
   relay.start();
-  CHECK(relay.ask("q1").starts_with("HTTP/1.1 502"));
+  CHECK(relay.sendRequest("q1").starts_with("HTTP/1.1 502"));
 }
 
 TEST_CASE("A stream reaches the caller by whole events and ends only as its runner ended it") {
   ScriptedRunner breaking([](auto& socket, const auto&) {
-    say(socket, streamHead("q1") + chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n"));
+    writeTo(socket, streamHead("q1") + chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n"));
     socket.close();
   });
   TestRelay relay(testRoute(RouteKind::Streaming, 1));
   relay.addRunner("runner-1", breaking.address());
   relay.start();
-  const std::string answer = relay.ask("q1");
+  const std::string answer = relay.sendRequest("q1");
   CHECK(answer.find("data: a") != std::string::npos);
   CHECK(answer.find("data: b") == std::string::npos);
   CHECK_FALSE(answer.ends_with(kLastChunk));
@@ -303,17 +311,17 @@
 TEST_CASE("A resumable stream goes on at another runner after its last whole event") {
   ScriptedRunner breaking([](auto& socket, const auto& request) {
     if (request.find("Last-Event-Id: 1") != std::string::npos) {
-      say(socket, streamHead("q1") + chunk("id: 2\ndata: b\n\n") + kLastChunk);
+      writeTo(socket, streamHead("q1") + chunk("id: 2\ndata: b\n\n") + kLastChunk);
       return;
     }
-    say(socket, streamHead("q1") + chunk("id: 1\ndata: a\n\nid: 2\nda"));
+    writeTo(socket, streamHead("q1") + chunk("id: 1\ndata: a\n\nid: 2\nda"));
     socket.close();
   });
   TestRelay relay(testRoute(RouteKind::Streaming, 2, true));
   relay.addRunner("runner-1", breaking.address());
   relay.addRunner("runner-2", breaking.address());
   relay.start();
-  const std::string answer = relay.ask("q1");
+  const std::string answer = relay.sendRequest("q1");
   CHECK(answer.find("data: a\n\n") != std::string::npos);
   CHECK(answer.find("data: b\n\n") != std::string::npos);
   CHECK(answer.ends_with(kLastChunk));
@@ -322,18 +330,19 @@
 
 TEST_CASE("A runner that can't be reached costs nothing: another is tried") {
   ScriptedRunner working(
-      [](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", "127.0.0.1:1");
   relay.addRunner("runner-2", working.address());
   relay.start();
   for (int i = 0; i < 4; ++i) {
-    CHECK(relay.ask("q1").ends_with("done"));
+    CHECK(relay.sendRequest("q1").ends_with("done"));
   }
 }
 
 TEST_CASE("Nothing is sent to a runner whose zone is evacuated between the place and the send") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   v1::EvacuationList evacuations;
@@ -347,11 +356,11 @@
   const Places places = ownPlaces(relay, "127.0.0.1:18308");
   places.peers->setRelays({"127.0.0.1:18307"});
   relay.start();
-  CHECK(relay.ask("q1").ends_with("done"));
+  CHECK(relay.sendRequest("q1").ends_with("done"));
   CHECK(claims == 1);
   evacuations.set_version(4);
   evacuations.add_zones()->set_zone("z");
-  const std::string answer = relay.ask("q1");
+  const std::string answer = relay.sendRequest("q1");
   CHECK(claims == 2);
   CHECK(places.client->counts().granted == 2);
   CHECK(answer.starts_with("HTTP/1.1 503"));
@@ -361,7 +370,8 @@
 
 TEST_CASE(
     "Nothing is sent to a runner whose zone is evacuated while a source of parts is asked for") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   v1::EvacuationList evacuations;
@@ -379,15 +389,15 @@
   });
   const auto peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
   REQUIRE_FALSE(isError(peers->open("127.0.0.1:18310")));
-  relay.state().parts = std::make_shared<daemon::PartClient>(peers, relay.state().clock,
-                                                             [](uint64_t) { return true; });
+  relay.state().prefix_client = std::make_shared<daemon::PrefixClient>(
+      peers, relay.state().clock, [](uint64_t) { return true; });
   peers->setRelays({"127.0.0.1:18309"});
   relay.start();
-  CHECK(relay.ask("q1", "W-Parts: two\r\n").ends_with("done"));
+  CHECK(relay.sendRequest("q1", "W-Parts: two\r\n").ends_with("done"));
   CHECK(questions == 1);
   evacuations.set_version(4);
   evacuations.add_zones()->set_zone("z");
-  const std::string answer = relay.ask("q1", "W-Parts: two\r\n");
+  const std::string answer = relay.sendRequest("q1", "W-Parts: two\r\n");
   CHECK(questions == 2);
   CHECK(answer.starts_with("HTTP/1.1 503"));
   CHECK(answer.find("not-run") != std::string::npos);
@@ -442,7 +452,7 @@
   relay.addRunner("runner-1", silent.address());
   relay.start();
   const auto begin = std::chrono::steady_clock::now();
-  CHECK(relay.ask("q1").starts_with("HTTP/1.1 504"));
+  CHECK(relay.sendRequest("q1").starts_with("HTTP/1.1 504"));
   CHECK(std::chrono::steady_clock::now() - begin < std::chrono::milliseconds(350));
 }
 
@@ -453,14 +463,15 @@
   const int64_t length_ms = 4000;
   relay.state().lease = relay::ServingLease(length_ms);
   relay.start();
-  const std::string answer = relay.ask("q1");
+  const std::string answer = relay.sendRequest("q1");
   CHECK(answer.starts_with("HTTP/1.1 503"));
   CHECK(answer.find("not-run") != std::string::npos);
   CHECK(runner.requests() == 0);
 }
 
 TEST_CASE("A relay that was out of touch for a while serves what it knows and denies nothing") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   const int64_t length_ms = 60'000;
@@ -469,7 +480,7 @@
   lease.confirmed(lease.renewalSent(SystemClock().monotonicMs() - age_ms));
   relay.state().lease = lease;
   relay.start();
-  CHECK(relay.ask("q1").starts_with("HTTP/1.1 200"));
+  CHECK(relay.sendRequest("q1").starts_with("HTTP/1.1 200"));
   const std::string unknown_key = "W-Key: key-9\r\n";
   std::string request = TestRelay::requestText("q2");
   request.replace(request.find("W-Key: key-1\r\n"), unknown_key.size(), unknown_key);
--- a/tests/unit/daemon/relay/relay_fixture.h
+++ b/tests/unit/daemon/relay/relay_fixture.h
@@ -23,7 +23,7 @@
 #include "adapters/http/http_server.h"
 #include "adapters/system_clock.h"
 #include "adapters/worker_pool.h"
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 #include "ports/configuration_codec.h"
 #include "ports/relay_dialect.h"
 
@@ -38,20 +38,20 @@
   return condition();
 }
 
-inline constexpr std::chrono::milliseconds kPatience{10'000};
+inline constexpr std::chrono::milliseconds kTestTimeout{10'000};
 
 /// A caller's request for path `/work`.
 struct CallerRequest {
   std::string id;
   std::string key = "key-1";
-  int64_t patience_ms = 3000;
+  int64_t timeout_ms = 3000;
   std::string more_headers;
   std::string body = "hi";
 };
 
 inline std::string requestText(const CallerRequest& request) {
   return "POST /work HTTP/1.1\r\nHost: h.example\r\nW-Request: " + request.id +
-         "\r\nW-Key: " + request.key + "\r\nW-Deadline: " + std::to_string(request.patience_ms) +
+         "\r\nW-Key: " + request.key + "\r\nW-Deadline: " + std::to_string(request.timeout_ms) +
          "\r\nConnection: close\r\n" + request.more_headers +
          "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body;
 }
@@ -80,7 +80,7 @@
         .deadline = "W-Deadline",
         .target_runner = "W-Runner",
         .priority = "W-Priority",
-        .prompt_parts = "W-Parts",
+        .prefix_blocks = "W-Parts",
         .not_run = "W-Not-Run",
         .signature = "W-Signature",
         .load = "W-Load",
@@ -96,7 +96,7 @@
                                     .get_configuration = "/get"};
     return paths;
   }
-  std::optional<EvacuationCall> evacuationCall(std::string_view path) const override {
+  std::optional<EvacuationCall> parseEvacuationCall(std::string_view path) const override {
     constexpr std::string_view kBegin = "/evacuate/";
     constexpr std::string_view kEnd = "/take-back/";
     if (path.starts_with(kBegin)) {
@@ -107,7 +107,7 @@
     }
     return std::nullopt;
   }
-  std::optional<RolloutCall> rolloutCall(std::string_view path) const override {
+  std::optional<RolloutCall> parseRolloutCall(std::string_view path) const override {
     constexpr std::string_view kAsk = "/rollout/";
     if (path == "/roll-out") {
       return RolloutCall{.begin = true};
@@ -117,21 +117,22 @@
                : std::nullopt;
   }
   /// The body is "SERVICE VERSION MILLISECONDS".
-  Result<RolloutWish> rolloutWish(std::string_view body) const override {
+  Result<RolloutRequest> parseRolloutRequest(std::string_view body) const override {
     std::istringstream words{std::string(body)};
-    RolloutWish wish;
+    RolloutRequest wish;
     words >> wish.service >> wish.target_version >> wish.duration_ms;
-    return words && wish.duration_ms > 0 ? Result<RolloutWish>(wish) : Error{"no wish"};
+    return words && wish.duration_ms > 0 ? Result<RolloutRequest>(wish) : Error{"no wish"};
   }
-  std::string rolloutAnswer(RolloutState state, const std::string& target_version) const override {
+  std::string rolloutStatusBody(RolloutState state,
+                                const std::string& target_version) const override {
     return std::to_string(static_cast<int>(state)) + " " + target_version;
   }
   /// Any value names two parts.
-  std::vector<PromptPart> promptParts(std::string_view) const override {
-    return {PromptPart{.id = "shared", .tokens = 1}, PromptPart{.id = "own", .tokens = 1}};
+  std::vector<PrefixBlock> parsePrefixBlocks(std::string_view) const override {
+    return {PrefixBlock{.id = "shared", .tokens = 1}, PrefixBlock{.id = "own", .tokens = 1}};
   }
   /// Times are whole milliseconds.
-  relay::RunnerNotice runnerNotice(const AnswerHead& head) const override {
+  relay::RunnerNotice parseRunnerNotice(const ResponseHead& head) const override {
     const auto timeOf = [&head](std::string_view name) {
       const auto value = head.field(name);
       return value ? std::optional<uint32_t>(std::stoul(*value)) : std::nullopt;
@@ -150,7 +151,7 @@
 
 /// Time of the machine, which a test may let sleep: the process stands still and its timers with
 /// it, and time has passed when it goes on. Safe for concurrent use.
-class SleepingClock : public Clock {
+class SuspendableClock : public Clock {
 public:
   void sleepFor(int64_t milliseconds) { slept_ms_ += milliseconds; }
   int64_t monotonicMs() const override { return clock_.monotonicMs() + slept_ms_; }
@@ -220,7 +221,7 @@
   std::thread thread_;
 };
 
-inline void say(ScriptedRunner::Socket& socket, const std::string& bytes) {
+inline void writeTo(ScriptedRunner::Socket& socket, const std::string& bytes) {
   boost::system::error_code ignored;
   boost::asio::write(socket, boost::asio::buffer(bytes), ignored);
 }
@@ -305,15 +306,15 @@
   }
   void start() { workers_.start(); }
   daemon::RelayState& state() { return state_; }
-  SleepingClock& clock() { return clock_; }
+  SuspendableClock& clock() { return clock_; }
   boost::asio::io_context& context() { return workers_.context(0); }
   const std::string& address() const { return address_; }
 
   /// Sends a request for path `/` and returns everything that comes until the connection ends.
-  std::string ask(const std::string& id, const std::string& more_headers = "") const {
+  std::string sendRequest(const std::string& id, const std::string& more_headers = "") const {
     return send(requestText(id, more_headers));
   }
-  /// As `ask`, with the whole request given.
+  /// As `sendRequest`, with the whole request given.
   std::string send(const std::string& request) const { return answerTo(request, address_); }
   static std::string requestText(const std::string& id, const std::string& more_headers = "") {
     return test::requestText(CallerRequest{.id = id, .more_headers = more_headers});
@@ -327,12 +328,12 @@
       co_await exchange.respond(std::move(response));
       co_return;
     }
-    const auto run = std::make_shared<daemon::RelayRun>(
+    const auto run = std::make_shared<daemon::ActiveRequest>(
         workers_.context(0), state_, exchange, std::move(std::get<daemon::RelayRequest>(admitted)));
     co_await run->run();
   }
 
-  SleepingClock clock_;
+  SuspendableClock clock_;
   const TestDialect dialect_{};
   WorkerPool workers_{1};
   daemon::RelayState state_;
--- a/tests/unit/daemon/relay/relay_role_test.cc
+++ b/tests/unit/daemon/relay/relay_role_test.cc
@@ -68,7 +68,7 @@
   WorkerPool workers_{1};
   link::LinkListener listener_;
   const std::string runner_address_;
-  daemon::ConfigurationSender configurations_;
+  daemon::ConfigurationUpdateBuilder configurations_;
   std::vector<std::shared_ptr<link::FramedLink>> links_;
   std::atomic<bool> relay_ready_{false};
 };
@@ -83,7 +83,7 @@
     while (!runner_may_answer) {
       std::this_thread::yield();
     }
-    say(socket, signedAnswer("q1", "done"));
+    writeTo(socket, signedAnswer("q1", "done"));
   });
   const PlayedLeader leader("127.0.0.1:18241", runner.address());
   settings::RelaySettings settings;
@@ -107,22 +107,22 @@
   REQUIRE_FALSE(isError(role.start()));
   workers.start();
   const auto ready = [&] { return !isError(http::simpleGet(settings.ready_address, "/ready")); };
-  REQUIRE(within(kPatience, ready));
+  REQUIRE(within(kTestTimeout, ready));
 
   std::string answer;
   std::thread caller(
       [&] { answer = answerTo(TestRelay::requestText("q1"), settings.caller_address); });
-  REQUIRE(within(kPatience, [&] { return runner_has_request.load(); }));
+  REQUIRE(within(kTestTimeout, [&] { return runner_has_request.load(); }));
   std::atomic<bool> stopped{false};
   boost::asio::post(workers.context(0), [&] { role.stop([&] { stopped = true; }); });
-  CHECK(within(kPatience, [&] { return !leader.relayIsReady(); }));
+  CHECK(within(kTestTimeout, [&] { return !leader.relayIsReady(); }));
   CHECK_FALSE(ready());
   CHECK_FALSE(stopped);
   runner_may_answer = true;
   caller.join();
   CHECK(answer.starts_with("HTTP/1.1 200"));
   CHECK(answer.ends_with("done"));
-  CHECK(within(kPatience, [&] { return stopped.load(); }));
+  CHECK(within(kTestTimeout, [&] { return stopped.load(); }));
   workers.stop();
 }
 
--- a/tests/unit/daemon/relay/runner_notice_test.cc
+++ b/tests/unit/daemon/relay/runner_notice_test.cc
@@ -15,15 +15,15 @@
 /// A runner that declines whatever comes. @param more_headers of its answers
 ScriptedRunner::Script declining(std::string more_headers) {
   return [more_headers = std::move(more_headers)](auto& socket, const std::string& request) {
-    say(socket, "HTTP/1.1 503 Full\r\nW-Request: " + requestIdOf(request) + "\r\nW-Not-Run: 1\r\n" +
-                    more_headers + "Content-Length: 0\r\n\r\n");
+    writeTo(socket, "HTTP/1.1 503 Full\r\nW-Request: " + requestIdOf(request) +
+                        "\r\nW-Not-Run: 1\r\n" + more_headers + "Content-Length: 0\r\n\r\n");
   };
 }
 
 /// A runner that runs whatever comes. @param more_headers of its answers
 ScriptedRunner::Script running(const std::string& more_headers = "") {
   return [more_headers](auto& socket, const std::string& request) {
-    say(socket, signedAnswer(requestIdOf(request), "done", "200 OK" + more_headers));
+    writeTo(socket, signedAnswer(requestIdOf(request), "done", "200 OK" + more_headers));
   };
 }
 
@@ -35,7 +35,7 @@
   int answered(int requests) {
     int count = 0;
     for (int i = 0; i < requests; ++i) {
-      count += relay_.ask("q" + std::to_string(++asked_)).ends_with("done") ? 1 : 0;
+      count += relay_.sendRequest("q" + std::to_string(++asked_)).ends_with("done") ? 1 : 0;
     }
     return count;
   }
@@ -74,7 +74,7 @@
   Caller caller(relay);
   CHECK(caller.answered(1) == 0);
   relay.clock().sleepFor(600);
-  const std::string refused = relay.ask("q9");
+  const std::string refused = relay.sendRequest("q9");
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("all_backing_off") != std::string::npos);
   // Comes back when the runner wants requests again.
@@ -93,15 +93,15 @@
   // The owner of places is asked first; while it is, another request's answer comes.
   const auto peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
   REQUIRE_FALSE(isError(peers->open("127.0.0.1:18305")));
-  relay.state().places =
-      std::make_shared<daemon::PlaceClient>(peers, relay.state().clock, 1, [&](uint64_t) {
-        relay.state().runners.noteNotice(*runner, relay::RunnerNotice{.backoff_ms = 3000},
-                                         relay.state().clock.monotonicMs());
+  relay.state().slot_client =
+      std::make_shared<daemon::SlotClient>(peers, relay.state().clock, 1, [&](uint64_t) {
+        relay.state().runners.applyNotice(*runner, relay::RunnerNotice{.backoff_ms = 3000},
+                                          relay.state().clock.monotonicMs());
         return relay::OwnedRunner{.listed = true};
       });
   peers->setRelays({"127.0.0.1:18305"});
   relay.start();
-  const std::string refused = relay.ask("q1");
+  const std::string refused = relay.sendRequest("q1");
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(free.requests() == 0);
   CHECK(relay.state().stats.attempts["withdrawn"] == 1);
@@ -132,7 +132,7 @@
     CAPTURE(declines);
     ScriptedRunner leaving(
         declines ? declining("W-Leaving: 1\r\n") : [](auto& socket, const std::string& request) {
-          say(socket, signedAnswer(requestIdOf(request), "bad", "500 Bad\r\nW-Leaving: 1"));
+          writeTo(socket, signedAnswer(requestIdOf(request), "bad", "500 Bad\r\nW-Leaving: 1"));
         });
     TestRelay relay(testRoute(RouteKind::RunOnce, 1));
     relay.addRunner("runner-1", leaving.address());
@@ -147,16 +147,16 @@
   ScriptedRunner leaving([](auto& socket, const std::string& request) {
     std::string head = streamHead(requestIdOf(request));
     head.insert(head.size() - 2, "W-Leaving: 1\r\n");
-    say(socket, head + chunk("id: 1\ndata: a\n\n"));
-    say(socket, chunk("id: 2\ndata: b\n\n") + kLastChunk);
+    writeTo(socket, head + chunk("id: 1\ndata: a\n\n"));
+    writeTo(socket, chunk("id: 2\ndata: b\n\n") + kLastChunk);
   });
   TestRelay relay(testRoute(RouteKind::Streaming, 1));
   relay.addRunner("runner-1", leaving.address());
   relay.start();
-  const std::string answer = relay.ask("q1");
+  const std::string answer = relay.sendRequest("q1");
   CHECK(answer.find("data: a") != std::string::npos);
   CHECK(answer.find("data: b") != std::string::npos);
-  CHECK(relay.ask("q2").starts_with("HTTP/1.1 503"));
+  CHECK(relay.sendRequest("q2").starts_with("HTTP/1.1 503"));
   CHECK(leaving.requests() == 1);
 }
 
