--- a/tests/unit/daemon/relay/sleep_test.cc
+++ b/tests/unit/daemon/relay/sleep_test.cc
@@ -19,7 +19,7 @@
 
 struct Sleep {
   /// How long the caller waits at most, by its own word.
-  int64_t patience_ms = 0;
+  int64_t timeout_ms = 0;
   int64_t slept_ms = 0;
 };
 
@@ -33,38 +33,41 @@
   const std::string address = "127.0.0.1:" + std::to_string(port);
   const auto peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
   REQUIRE_FALSE(isError(peers->open(address)));
-  relay.state().places =
-      std::make_shared<daemon::PlaceClient>(peers, relay.state().clock, 1, [&](uint64_t) {
+  relay.state().slot_client =
+      std::make_shared<daemon::SlotClient>(peers, relay.state().clock, 1, [&](uint64_t) {
         relay.clock().sleepFor(sleep.slept_ms);
         return relay::OwnedRunner{.listed = true};
       });
   peers->setRelays({address});
   relay.start();
-  return relay.send(requestText(CallerRequest{.id = "q1", .patience_ms = sleep.patience_ms}));
+  return relay.send(requestText(CallerRequest{.id = "q1", .timeout_ms = sleep.timeout_ms}));
 }
 
 } // namespace
 
 TEST_CASE("Nothing is sent for a caller whose patience ended while the machine slept") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   const std::string answer =
-      answerAfter(Sleep{.patience_ms = 2000, .slept_ms = 2500}, 18460, runner);
+      answerAfter(Sleep{.timeout_ms = 2000, .slept_ms = 2500}, 18460, runner);
   CHECK(answer.starts_with("HTTP/1.1 503"));
   CHECK(runner.requests() == 0);
 }
 
 TEST_CASE("Nothing is sent on a lease that ran out while the machine slept") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   const std::string answer =
-      answerAfter(Sleep{.patience_ms = 30'000, .slept_ms = 4500}, 18464, runner);
+      answerAfter(Sleep{.timeout_ms = 30'000, .slept_ms = 4500}, 18464, runner);
   CHECK(answer.starts_with("HTTP/1.1 503"));
   CHECK(runner.requests() == 0);
 }
 
 TEST_CASE("A short sleep ends no request") {
-  ScriptedRunner runner([](auto& socket, const auto&) { say(socket, signedAnswer("q1", "done")); });
+  ScriptedRunner runner(
+      [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   const std::string answer =
-      answerAfter(Sleep{.patience_ms = 30'000, .slept_ms = 500}, 18468, runner);
+      answerAfter(Sleep{.timeout_ms = 30'000, .slept_ms = 500}, 18468, runner);
   CHECK(answer.find("done") != std::string::npos);
 }
 
--- a/tests/unit/daemon/relay/place_client_test.cc
+++ b/tests/unit/daemon/relay/slot_client_test.cc
@@ -12,16 +12,16 @@
 #include <doctest/doctest.h>
 
 #include "adapters/system_clock.h"
-#include "daemon/relay/place_client.h"
+#include "daemon/relay/slot_client.h"
 
 namespace workshatch::test {
 
 namespace {
 
-using daemon::PlaceClient;
-using daemon::PlaceReply;
-using daemon::PlaceVerdict;
 using daemon::RelayPeers;
+using daemon::SlotClaimResult;
+using daemon::SlotClient;
+using daemon::SlotVerdict;
 
 const std::string kFirst = "127.0.0.1:18301";
 const std::string kSecond = "127.0.0.1:18302";
@@ -38,7 +38,7 @@
 
   /// @return a runner that the relay with this address owns.
   static uint64_t ownedBy(const std::string& address) {
-    relay::PlaceOwners owners;
+    relay::SlotOwnerMap owners;
     owners.setRelays({kFirst, kSecond});
     uint64_t runner = 1;
     while (*owners.ownerOf(runner) != address) {
@@ -47,8 +47,8 @@
     return runner;
   }
 
-  PlaceReply claim(PlaceClient& client, uint64_t runner, uint32_t limit) {
-    std::optional<PlaceReply> reply;
+  SlotClaimResult claim(SlotClient& client, uint64_t runner, uint32_t limit) {
+    std::optional<SlotClaimResult> reply;
     boost::asio::co_spawn(
         context,
         [&]() -> boost::asio::awaitable<void> { reply = co_await client.claim(runner, limit); },
@@ -72,10 +72,10 @@
   relay::OwnedRunner told{.listed = true};
   std::shared_ptr<RelayPeers> first_peers = std::make_shared<RelayPeers>(context, clock);
   std::shared_ptr<RelayPeers> second_peers = std::make_shared<RelayPeers>(context, clock);
-  std::shared_ptr<PlaceClient> first =
-      std::make_shared<PlaceClient>(first_peers, clock, 1, [this](uint64_t) { return told; });
-  std::shared_ptr<PlaceClient> second =
-      std::make_shared<PlaceClient>(second_peers, clock, 2, [this](uint64_t) { return told; });
+  std::shared_ptr<SlotClient> first =
+      std::make_shared<SlotClient>(first_peers, clock, 1, [this](uint64_t) { return told; });
+  std::shared_ptr<SlotClient> second =
+      std::make_shared<SlotClient>(second_peers, clock, 2, [this](uint64_t) { return told; });
 };
 
 } // namespace
@@ -84,19 +84,19 @@
   TwoRelays relays;
   for (const std::string& owner : {kFirst, kSecond}) {
     const uint64_t runner = TwoRelays::ownedBy(owner);
-    PlaceReply one = relays.claim(*relays.first, runner, 2);
-    CHECK(one.verdict == PlaceVerdict::Granted);
+    SlotClaimResult one = relays.claim(*relays.first, runner, 2);
+    CHECK(one.verdict == SlotVerdict::Granted);
     CHECK(one.load == 1);
-    const PlaceReply two = relays.claim(*relays.second, runner, 2);
-    CHECK(two.verdict == PlaceVerdict::Granted);
-    CHECK(relays.claim(*relays.first, runner, 2).verdict == PlaceVerdict::Refused);
-    CHECK(relays.claim(*relays.second, runner, 2).verdict == PlaceVerdict::Refused);
+    const SlotClaimResult two = relays.claim(*relays.second, runner, 2);
+    CHECK(two.verdict == SlotVerdict::Granted);
+    CHECK(relays.claim(*relays.first, runner, 2).verdict == SlotVerdict::Refused);
+    CHECK(relays.claim(*relays.second, runner, 2).verdict == SlotVerdict::Refused);
     // The place goes to another as soon as it is given back.
-    one.place.giveBack();
-    PlaceReply next;
+    one.place.release();
+    SlotClaimResult next;
     relays.run([&] {
       next = relays.claim(*relays.second, runner, 2);
-      return next.verdict == PlaceVerdict::Granted;
+      return next.verdict == SlotVerdict::Granted;
     });
     CHECK(next.load == 2);
   }
@@ -110,44 +110,44 @@
   boost::asio::ip::udp::socket silent(relays.context,
                                       {boost::asio::ip::make_address("127.0.0.1"), 18302});
   const auto begin = std::chrono::steady_clock::now();
-  CHECK(relays.claim(*relays.first, runner, 2).verdict == PlaceVerdict::Unanswered);
+  CHECK(relays.claim(*relays.first, runner, 2).verdict == SlotVerdict::Unanswered);
   CHECK(std::chrono::steady_clock::now() - begin >= std::chrono::milliseconds(30));
-  CHECK(relays.claim(*relays.first, runner, 2).verdict == PlaceVerdict::Unanswered);
+  CHECK(relays.claim(*relays.first, runner, 2).verdict == SlotVerdict::Unanswered);
   CHECK(relays.first->counts().unanswered == 2);
   // Only the first was sent.
   CHECK(silent.available() > 0);
   const size_t one_datagram = silent.available();
-  CHECK(relays.claim(*relays.first, runner, 2).verdict == PlaceVerdict::Unanswered);
+  CHECK(relays.claim(*relays.first, runner, 2).verdict == SlotVerdict::Unanswered);
   CHECK(silent.available() == one_datagram);
 }
 
 TEST_CASE("Without a list of relays no owner is known") {
   TwoRelays relays;
   relays.first_peers->setRelays({});
-  CHECK(relays.claim(*relays.first, 1, 2).verdict == PlaceVerdict::Unanswered);
+  CHECK(relays.claim(*relays.first, 1, 2).verdict == SlotVerdict::Unanswered);
 }
 
 TEST_CASE("What is held is told to an owner that takes over") {
   TwoRelays relays;
   const uint64_t runner = TwoRelays::ownedBy(kSecond);
-  const PlaceReply held = relays.claim(*relays.first, runner, 5);
-  CHECK(held.verdict == PlaceVerdict::Granted);
+  const SlotClaimResult held = relays.claim(*relays.first, runner, 5);
+  CHECK(held.verdict == SlotVerdict::Granted);
   // The owner leaves: the first relay owns all runners and knows what it holds itself.
   relays.first_peers->setRelays({kFirst});
   relays.second_peers->setRelays({kFirst});
-  const PlaceReply other = relays.claim(*relays.second, runner, 5);
-  CHECK(other.verdict == PlaceVerdict::Granted);
+  const SlotClaimResult other = relays.claim(*relays.second, runner, 5);
+  CHECK(other.verdict == SlotVerdict::Granted);
   CHECK(other.load == 2);
 }
 
 TEST_CASE("Places that are held may outlive the client") {
-  PlaceReply held;
+  SlotClaimResult held;
   {
     TwoRelays relays;
     held = relays.claim(*relays.first, TwoRelays::ownedBy(kFirst), 5);
-    CHECK(held.verdict == PlaceVerdict::Granted);
+    CHECK(held.verdict == SlotVerdict::Granted);
   }
-  held.place.giveBack();
+  held.place.release();
 }
 
 } // namespace workshatch::test
--- a/tests/unit/daemon/relay/slow_reader_test.cc
+++ b/tests/unit/daemon/relay/slow_reader_test.cc
@@ -91,7 +91,7 @@
     // So that little is held by the system.
     socket_.set_option(boost::asio::socket_base::receive_buffer_size(4096));
     socket_.connect(*http::parseEndpoint(address));
-    const std::string request = requestText(CallerRequest{.id = id, .patience_ms = 20'000});
+    const std::string request = requestText(CallerRequest{.id = id, .timeout_ms = 20'000});
     boost::asio::write(socket_, boost::asio::buffer(request));
   }
   /// @return everything that comes until the connection ends.
@@ -122,7 +122,7 @@
   relay.addRunner("r1", runner.address());
   relay.start();
   PausingCaller caller("slow-1", relay.address());
-  REQUIRE(within(kPatience, [&] { return runner.taken() == 1; }));
+  REQUIRE(within(kTestTimeout, [&] { return runner.taken() == 1; }));
   const std::string answer = caller.readAll();
   CHECK(answer.size() > kStreamBytes);
   CHECK(answer.ends_with(kLastChunk));
@@ -136,8 +136,8 @@
   ScriptedRunner plain([](auto& socket, const std::string& request) {
     const std::string name = "W-Request: ";
     const size_t begin = request.find(name) + name.size();
-    say(socket, streamHead(request.substr(begin, request.find("\r\n", begin) - begin)) +
-                    chunk("data: one\n\n") + kLastChunk);
+    writeTo(socket, streamHead(request.substr(begin, request.find("\r\n", begin) - begin)) +
+                        chunk("data: one\n\n") + kLastChunk);
   });
   TestRelay relay(streamingRoute(), {}, kBound);
   relay.addRunner("r1", runner.address());
@@ -151,13 +151,13 @@
   const auto look = [&] {
     std::atomic<bool> looked{false};
     boost::asio::post(relay.context(), [&] {
-      most_held = std::max(most_held.load(), relay.state().read_ahead.heldBytes());
-      cuts = relay.state().read_ahead.cuts();
+      most_held = std::max(most_held.load(), relay.state().read_ahead.bufferedBytes());
+      cuts = relay.state().read_ahead.cancelledReaders();
       looked = true;
     });
-    within(kPatience, [&] { return looked.load(); });
+    within(kTestTimeout, [&] { return looked.load(); });
   };
-  REQUIRE(within(kPatience, [&] {
+  REQUIRE(within(kTestTimeout, [&] {
     look();
     return cuts > 0;
   }));
@@ -171,10 +171,10 @@
     lease.confirmed(lease.renewalSent(relay.clock().monotonicMs()));
     added = true;
   });
-  REQUIRE(within(kPatience, [&] { return added.load(); }));
+  REQUIRE(within(kTestTimeout, [&] { return added.load(); }));
   for (int i = 0; i < 20; ++i) {
     const auto asked = std::chrono::steady_clock::now();
-    const std::string answer = relay.ask("quick-" + std::to_string(i));
+    const std::string answer = relay.sendRequest("quick-" + std::to_string(i));
     CHECK(answer.find("data: one") != std::string::npos);
     CHECK(std::chrono::steady_clock::now() - asked < std::chrono::seconds(1));
     look();
--- a/tests/unit/daemon/runner_list_reader_test.cc
+++ b/tests/unit/daemon/runner_list_reader_test.cc
@@ -25,7 +25,8 @@
 public:
   explicit RefusingPlatform(const std::string& head)
       : platform_([head](auto& socket, const auto&) {
-          say(socket, "HTTP/1.1 " + head + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+          writeTo(socket,
+                  "HTTP/1.1 " + head + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         }),
         reader_(context_, clock_, platform_.address(), codec_) {}
 
@@ -44,12 +45,12 @@
     return done;
   }
   int calls() const { return platform_.requests(); }
-  SleepingClock& clock() { return clock_; }
+  SuspendableClock& clock() { return clock_; }
 
 private:
   ScriptedRunner platform_;
   boost::asio::io_context context_;
-  SleepingClock clock_;
+  SuspendableClock clock_;
   const EmptyListCodec codec_{};
   daemon::RunnerListReader reader_;
 };
--- a/tests/unit/stops_to_play.h
+++ b/tests/unit/stop_count.h
@@ -8,7 +8,7 @@
 
 /// @param in_each_run as many as a run of all tests bears
 /// @return that, or what WORKSHATCH_STOPS asks for by hand
-inline int stopsToPlay(int in_each_run) {
+inline int stopCount(int in_each_run) {
   const char* asked = std::getenv("WORKSHATCH_STOPS");
   return asked == nullptr ? in_each_run : std::atoi(asked);
 }
