--- a/src/core/admission/moved_sessions.cc
+++ b/src/core/admission/moved_sessions.cc
@@ -30,7 +30,8 @@
     const bool current = found != sessions_.end() && found->second.at_ms == oldest.at_ms;
     const bool expired = now_ms - oldest.at_ms > retention_ms_;
     if (current && !expired && sessions_.size() <= max_entries_) {
-      // A session that comes back often leaves stale ages behind; their number is bounded too.
+      // A session that is recorded often leaves outdated ages behind. They expire as well, so their
+      // number is bounded.
       return;
     }
     if (current) {
--- a/src/core/admission/permit_key.h
+++ b/src/core/admission/permit_key.h
@@ -1,5 +1,5 @@
 /// @file
-/// Identity of permits as a key of maps.
+/// Key of a permit for ordered containers.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace workshatch::admission {
 
-/// A permit's identity: the router that asked for it, its start, and a number within that.
+/// Identifies a permit: the router that requested it, the incarnation of that router's process, and
+/// a sequence number within the incarnation.
 struct PermitKey {
   std::string router;
   uint64_t incarnation = 0;
--- a/src/core/admission/permit_table.cc
+++ b/src/core/admission/permit_table.cc
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr int64_t kMillisecondsPerSecond = 1000;
-/// About the tokens of one request.
+/// Approximate number of tokens of one request.
 constexpr uint64_t kTokenQuantum = 1024;
-/// Told to callers that find an engine and its queue full.
+/// Retry delay for callers when both an engine and its queue are full.
 constexpr uint32_t kRetryAfterMs = 1000;
 
 v1::PermitReply replyTo(const v1::PermitRequest& request, v1::PermitVerdict verdict) {
@@ -64,7 +64,7 @@
   for (const EngineStatus& status : engines) {
     Engine& engine = engines_[status.engine];
     if (was_owned.contains(status.engine) && !status.owned) {
-      // The holders report their permits to the new owner.
+      // The routers that hold the permits report them to the new owner.
       engine.permits.clear();
       engine.load = 0;
       engine.counted_load = 0;
@@ -89,7 +89,8 @@
   for (const v1::PoolLoad& total : totals) {
     Pool& pool = pools_[total.service()];
     std::shift_right(pool.other_owner_loads.begin(), pool.other_owner_loads.end(), 1);
-    // The sum holds this owner's load as it was reported; what has ended since is nobody else's.
+    // The total contains this owner's load as last reported. Load that has ended since then must
+    // not be attributed to the other owners.
     const uint64_t own = std::max(pool.own_load, pool.reported_load);
     pool.other_owner_loads.front() = total.load() > own ? total.load() - own : 0;
   }
@@ -128,23 +129,24 @@
 }
 
 uint64_t PermitTable::estimateOtherOwnersLoad(const Pool& pool) {
-  // A router that died is in the sums until its report is too old, while its callers come back
-  // elsewhere: the least of the last sums counts.
-  const uint64_t least =
+  // A dead router stays in the totals until its report expires, while its callers retry through
+  // other routers and are counted there too. The lowest of the last totals avoids this double
+  // count.
+  const uint64_t lowest =
       *std::min_element(pool.other_owner_loads.begin(), pool.other_owner_loads.end());
-  // After such a death the load falls faster than sums arrive: a fall is taken to go on.
-  const uint64_t fall = pool.other_owner_loads[1] > pool.other_owner_loads[0]
-                            ? pool.other_owner_loads[1] - pool.other_owner_loads[0]
-                            : 0;
-  return least > fall ? least - fall : 0;
+  // After a router dies, the load falls faster than totals arrive, so a decrease is extrapolated.
+  const uint64_t decrease = pool.other_owner_loads[1] > pool.other_owner_loads[0]
+                                ? pool.other_owner_loads[1] - pool.other_owner_loads[0]
+                                : 0;
+  return lowest > decrease ? lowest - decrease : 0;
 }
 
 bool PermitTable::hasCapacity(const Engine& engine, uint64_t cost) const {
   const Pool& pool = pools_.at(engine.status.service);
   const uint64_t total = pool.own_load + estimateOtherOwnersLoad(pool);
   const uint64_t cap = loadCap(pool.policy, total, pool.engines, cost);
-  // Sums are older than the time that a fleet's load needs to halve: an engine that is idle while
-  // the others are not is filled in steps, with new sums between.
+  // The totals are older than the time in which a fleet's load can halve. An idle engine of a busy
+  // pool is therefore filled in steps, with new totals between the steps.
   const uint64_t step = std::max(2 * cost, cap / 2);
   return engine.load + cost <= std::min(cap, engine.load_at_last_totals + step);
 }
@@ -185,7 +187,7 @@
     return replyTo(request, v1::PERMIT_QUEUED);
   }
   const uint32_t length = pools_.at(engine.status.service).policy.queue_length;
-  // One tenant takes at most half of the queue, so that others always find a place.
+  // One tenant uses at most half of the queue, so that other tenants always find room.
   const bool tenant_full = engine.queue.tenantSize(request.tenant()) * 2 >= length;
   if (request.wait_ms() == 0 || engine.queue.size() >= length || tenant_full) {
     return replyTo(request, v1::PERMIT_FULL);
@@ -244,7 +246,7 @@
 void PermitTable::adoptPermit(const v1::HeldPermit& held) {
   Engine& engine = engines_[held.engine()];
   if (engine.status.engine.empty()) {
-    // Not listed here yet; the list that names it keeps the load.
+    // The engine is not listed here yet. A later list that contains it keeps the load.
     engine.status = EngineStatus{.engine = held.engine(), .service = held.service(), .live = false};
   }
   const PermitKey permit = keyOf(held.permit());
--- a/src/core/admission/permit_table.h
+++ b/src/core/admission/permit_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// Admission by the owner of an engine: permits, the load cap, fairness between tenants.
+/// Admission control by the owner of an engine: permits, the load cap, and fairness between
+/// tenants.
 #pragma once
 
 #include <array>
@@ -21,55 +22,63 @@
 
 namespace workshatch::admission {
 
-/// What the owner knows of an engine besides its load.
+/// State of an engine as its owner knows it, apart from the load.
 struct EngineStatus {
   std::string engine;
   std::string service;
-  /// Takes no new work.
+  /// The engine is about to go away and accepts no new requests.
   bool leaving = false;
-  /// Reported by the platform and not held down after failures.
+  /// The platform's current list contains the engine.
   bool live = true;
-  /// This router admits work to the engine now.
+  /// This router currently decides on admission to the engine.
   bool owned = false;
 };
 
-/// The engines that one router owns and the permits it gave out.
+/// Permits that one router has granted for the engines it owns.
 ///
-/// Guarantees: while this router is an engine's only owner, the load of its permits never passes
-/// `loadCap` of the pool as known here; a permit asked for twice is given once; nobody waits longer
-/// than asked for. Times are milliseconds of a monotonic clock. Not safe for concurrent use.
+/// Guarantees: while this router is the only owner of an engine, admission never raises the load of
+/// the engine's permits above `loadCap`, computed from the pool loads known here; a repeated
+/// request for the same permit is granted once; no request stays queued longer than it asked for.
+/// Times are milliseconds of a monotonic clock. Not safe for concurrent use.
 class PermitTable {
 public:
-  /// Takes over tenants, pools and session policy of a configuration.
+  /// Applies the tenants, pools and session limits of a configuration.
   void configure(const v1::Configuration& configuration);
 
-  /// Replaces the list of engines. Permits of engines that went away are kept until released.
+  /// Replaces the list of engines. Permits of engines that are no longer listed are kept until they
+  /// are released.
   void setEngines(const std::vector<EngineStatus>& engines);
 
-  /// Takes the pools' sums as control reported them, own loads included.
+  /// Updates the pool loads from the totals that the control leader reported. The totals include
+  /// this router's own load.
   void setPoolLoads(const std::vector<v1::PoolLoad>& totals);
 
-  /// Routers that may be dead. Their permits go on holding the places of an engine, but count in no
-  /// sum: the callers behind them come back elsewhere and are counted there.
+  /// Sets the routers that have stopped renewing their lease and may be dead. Their permits still
+  /// occupy the engines, but are left out of the pool loads: the callers behind them retry through
+  /// other routers and are counted there.
   void setSilentRouters(const std::vector<v1::RouterKey>& routers);
 
+  /// Grants, queues, redirects or refuses a request for a permit.
   v1::PermitReply request(const v1::PermitRequest& request, int64_t now_ms);
 
-  /// Ends a permit or a wait for one.
+  /// Ends a permit, or removes its request from the queue.
   void release(const v1::PermitId& permit, const std::string& engine);
 
-  /// Takes over a permit that an earlier owner gave.
+  /// Records a permit that an earlier owner of the engine granted.
   void adoptPermit(const v1::HeldPermit& held);
 
-  /// Reclaims the permits of routers that are not in the view any more.
+  /// Removes the permits of routers that are no longer in the view.
   void reclaimPermitsNotInView(const v1::View& view);
 
+  /// Records the engine that has a session's cache; a message without an engine removes the record.
   void recordSessionMove(const v1::SessionMoved& moved, int64_t now_ms);
 
-  /// Answers that became due: permits for waiters, refusals at their deadline.
+  /// @return replies to queued requests that became due: grants, and refusals of requests whose
+  /// deadline has passed or whose engine is no longer available.
   std::vector<v1::PermitReply> takeDueReplies(int64_t now_ms);
 
-  /// Load of the owned engines, by pool, for the next report to control.
+  /// @return load of the owned engines, by pool, for the next report to the control leader. The
+  /// reported values are kept, because the next totals contain them.
   std::vector<v1::PoolLoad> reportLoads();
   uint64_t loadOf(const std::string& engine) const;
   size_t permitCount() const;
@@ -79,33 +88,35 @@
   struct Engine {
     EngineStatus status;
     uint64_t load = 0;
-    /// Load of the permits whose routers are not silent.
+    /// Load without the permits of silent routers.
     uint64_t counted_load = 0;
-    /// Load when the last sums came.
+    /// Load at the time of the last pool totals.
     uint64_t load_at_last_totals = 0;
+    /// Cost of each permit.
     std::map<PermitKey, uint64_t> permits;
     FairQueue queue;
 
-    /// Whether its load counts in the pool's sum.
+    /// @return whether the engine's load is part of the pool's load.
     bool countsTowardPool() const { return status.owned && !status.leaving; }
   };
   struct Pool {
     PoolPolicy policy;
+    /// Number of engines that are live and not leaving.
     uint32_t engines = 0;
-    /// Load of the engines owned here that are in use, without that of silent routers.
+    /// Load of the owned engines that are not leaving, without the permits of silent routers.
     uint64_t own_load = 0;
-    /// `own_load` as it was last reported, which the next sums contain.
+    /// `own_load` at the last report. The next totals contain it.
     uint64_t reported_load = 0;
-    /// Load of all other owners in the last sums, newest first.
+    /// Load of all other owners in the last three totals, newest first.
     std::array<uint64_t, 3> other_owner_loads{};
   };
 
-  /// Load of the other owners now, estimated from sums that are some hundred milliseconds old. An
-  /// estimate that is too low only makes callers wait.
+  /// Estimates the current load of the other owners from totals that are some hundred milliseconds
+  /// old. An estimate that is too low only makes callers wait.
   static uint64_t estimateOtherOwnersLoad(const Pool& pool);
   bool isSilent(const PermitKey& permit) const;
   void addLoad(Engine& engine, const PermitKey& permit, uint64_t cost);
-  /// Makes the pools' own loads anew from those of the engines.
+  /// Recomputes the own load of each pool from the loads of its engines.
   void recomputeOwnLoads();
   bool hasCapacity(const Engine& engine, uint64_t cost) const;
   void grant(Engine& engine, const v1::PermitRequest& request);
@@ -117,7 +128,7 @@
   std::unordered_map<std::string, Engine> engines_;
   std::map<std::string, Pool> pools_;
   std::map<std::string, uint32_t> tenant_weights_;
-  /// Names and incarnations.
+  /// Name and incarnation of each silent router.
   std::set<std::pair<std::string, uint64_t>> silent_routers_;
   MovedSessions moved_;
 };
--- a/tests/unit/core/admission/permit_table_test.cc
+++ b/tests/unit/core/admission/permit_table_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Admission: the cap, permits that are asked for twice, fairness, and changes of owners.
+/// Tests of admission by an engine's owner: load cap, repeated permit requests, fairness, silent
+/// routers, and changes of ownership.
 #include <doctest/doctest.h>
 
 #include "core/admission/permit_table.h"
@@ -22,7 +23,8 @@
   return request;
 }
 
-/// A table that owns one engine of two, with an engine limit of `limit`.
+/// A table for a pool of two engines, of which it owns the first if `owned`; `limit` is the load
+/// limit of an engine.
 admission::PermitTable tableOf(uint64_t limit, bool owned = true) {
   admission::PermitTable table;
   v1::Configuration configuration;
@@ -54,7 +56,7 @@
   }
 }
 
-/// Asks for permits until one is refused. @return how many were granted.
+/// Requests permits until one is refused. @return the number that was granted.
 uint64_t fill(admission::PermitTable& table, uint64_t first_sequence) {
   uint64_t sequence = first_sequence;
   while (table.request(requestOf(sequence), 0).verdict() == v1::PERMIT_GRANTED) {
@@ -63,13 +65,13 @@
   return sequence - first_sequence;
 }
 
-/// The owner reports its load and gets sums with `others` beside it.
+/// Reports the owner's load and delivers totals that contain it and `others`.
 void exchangeTotals(admission::PermitTable& table, uint64_t others) {
   const auto loads = table.reportLoads();
   setTotal(table, others + (loads.empty() ? 0 : loads.front().load()));
 }
 
-/// Fills the engine, with new sums whenever it is full for now. @return the load in the end.
+/// Fills the engine and delivers new totals each time it is full. @return the final load.
 uint64_t fillOverTotals(admission::PermitTable& table, uint64_t others) {
   constexpr int kRounds = 10;
   uint64_t held = 0;
@@ -82,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("an idle engine takes one request, and more only as the pool's mean allows") {
+TEST_CASE("an idle engine accepts one request, and more only up to the load cap") {
   admission::PermitTable table = tableOf(0);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   // The pool's load is 1; with the request the mean is 1 and the cap 2.
@@ -92,7 +94,7 @@
   CHECK(table.request(requestOf(3), 0).verdict() == v1::PERMIT_GRANTED);
 }
 
-TEST_CASE("a permit asked for twice is given once, and its release frees the engine") {
+TEST_CASE("a repeated permit request is granted once, and its release frees the engine") {
   admission::PermitTable table = tableOf(1);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
@@ -104,7 +106,7 @@
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_GRANTED);
 }
 
-TEST_CASE("waiters of two tenants take turns, and none waits beyond its time") {
+TEST_CASE("queued requests of two tenants alternate, and none stays queued past its deadline") {
   admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   for (uint64_t sequence = 2; sequence <= 4; ++sequence) {
@@ -127,7 +129,7 @@
   CHECK(table.waitingCount() == 0);
 }
 
-TEST_CASE("one tenant fills at most half of a queue") {
+TEST_CASE("one tenant uses at most half of a queue") {
   admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   for (uint64_t sequence = 2; sequence <= 5; ++sequence) {
@@ -137,7 +139,7 @@
   CHECK(table.request(requestOf(7, "b", 100), 0).verdict() == v1::PERMIT_QUEUED);
 }
 
-TEST_CASE("leaving engines, engines of others and unknown ones give no permit") {
+TEST_CASE("no permit is granted for an engine that is leaving, not owned or unknown") {
   admission::PermitTable table = tableOf(0);
   v1::PermitRequest other = requestOf(1);
   other.set_engine("m/1");
@@ -148,7 +150,7 @@
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_LEAVING);
 }
 
-TEST_CASE("load left on an engine that is leaving does not raise the cap of the others") {
+TEST_CASE("the load of a leaving engine is not reported as load of the pool") {
   admission::PermitTable table = tableOf(0);
   setOthers(table, 10);
   for (uint64_t sequence = 1; sequence <= 4; ++sequence) {
@@ -162,7 +164,7 @@
   CHECK(table.reportLoads().at(0).load() == 3);
 }
 
-TEST_CASE("a new owner counts the permits that holders report") {
+TEST_CASE("a new owner counts the permits that their holders report") {
   admission::PermitTable table = tableOf(2, false);
   v1::HeldPermit held;
   *held.mutable_permit() = requestOf(1).permit();
@@ -175,7 +177,7 @@
   table.setEngines({{.engine = "m/0", .service = "pool", .owned = true}});
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_GRANTED);
   CHECK(table.request(requestOf(3), 0).verdict() == v1::PERMIT_FULL);
-  // An owner that loses the engine forgets its permits, which are reported to the next.
+  // An owner that loses the engine drops its permits; the holders report them to the next owner.
   table.setEngines({{.engine = "m/0", .service = "pool", .owned = false}});
   CHECK(table.loadOf("m/0") == 0);
 }
@@ -190,7 +192,7 @@
   CHECK(table.loadOf("m/0") == 0);
 }
 
-TEST_CASE("a session that was moved is sent to the engine that holds its cache") {
+TEST_CASE("a moved session is redirected to the engine that has its cache") {
   admission::PermitTable table = tableOf(0);
   v1::SessionMoved moved;
   moved.set_session(42);
@@ -205,15 +207,16 @@
   CHECK(table.request(request, 10).verdict() == v1::PERMIT_GRANTED);
 }
 
-TEST_CASE("while the other owners' load falls, the fall is taken to go on") {
+TEST_CASE("a decrease of the other owners' load is extrapolated") {
   admission::PermitTable table = tableOf(0);
   setOthers(table, 100);
   setTotal(table, 60);
-  // Others hold 20 by now: the engine may hold x <= ceil(1.15 * (20 + x) / 2), half of it at once.
+  // The others' load is estimated at 20: the engine may hold x <= ceil(1.15 * (20 + x) / 2), and
+  // gets half of it at once.
   CHECK(fill(table, 1) == 8);
 }
 
-TEST_CASE("own load that ended since it was reported is not taken for the other owners'") {
+TEST_CASE("own load that ended after its report is not attributed to the other owners") {
   admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
   const uint64_t held = fillOverTotals(table, 20);
@@ -222,24 +225,24 @@
   for (uint64_t sequence = 1; sequence <= held; ++sequence) {
     table.release(requestOf(sequence).permit(), "m/0");
   }
-  // Sums that still hold the reported load.
+  // These totals still contain the reported load.
   setOthers(table, 20 + held);
   CHECK(fill(table, 1000) == 8);
 }
 
-TEST_CASE("an idle engine of a busy fleet is filled in steps, with new sums between") {
+TEST_CASE("an idle engine of a busy pool is filled in steps, with new totals between them") {
   admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
   CHECK(fill(table, 1) == 8);
   CHECK(fill(table, 100) == 0);
   exchangeTotals(table, 20);
   CHECK(fill(table, 200) > 0);
-  // The others' load is gone by the next sums: nothing more is admitted.
+  // The others' load is gone by the next totals, so nothing more is admitted.
   exchangeTotals(table, 0);
   CHECK(fill(table, 300) == 0);
 }
 
-TEST_CASE("permits of a silent router hold their places and count in no sum") {
+TEST_CASE("permits of a silent router occupy the engine but are left out of the reported load") {
   admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
   CHECK(fill(table, 1) == 8);
@@ -252,7 +255,7 @@
   table.release(requestOf(1).permit(), "m/0");
   CHECK(table.loadOf("m/0") == 7);
   CHECK(table.reportLoads().at(0).load() == 0);
-  // It was only slow: its permits count again.
+  // The router was only slow, so its permits count again.
   table.setSilentRouters({});
   CHECK(table.reportLoads().at(0).load() == 7);
 }
