--- a/src/core/control/ledger.cc
+++ b/src/core/control/ledger.cc
@@ -89,7 +89,7 @@
 v1::LedgerReply Ledger::abort(const v1::LedgerAbortRequest& request) {
   v1::LedgerEntry& entry = entries_[request.key()];
   if (entry.status() == v1::LEDGER_STATUS_UNSPECIFIED) {
-    // The begin of this attempt may still be under way: the tombstone refuses it.
+    // The begin request of this attempt may still be in flight. The tombstone causes its refusal.
     entry.set_key(request.key());
     entry.set_attempt(request.attempt());
     entry.set_status(v1::LEDGER_ABORTED);
--- a/src/core/control/ledger.h
+++ b/src/core/control/ledger.h
@@ -1,5 +1,5 @@
 /// @file
-/// Ledger of requests that may not be repeated: each key is dispatched at most once.
+/// Ledger of requests that must not be repeated: each key is dispatched at most once.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,26 @@
 
 namespace workshatch::control {
 
-/// The ledger, part of the replicated state.
+/// Ledger of attempts and recorded answers, a part of the replicated state.
 ///
-/// Guarantees: of all attempts under one key at most one is ever granted, unless the earlier one
-/// was aborted by the router that held it; a recorded answer never changes; an entry whose router
-/// is gone becomes "unknown" for good. Deterministic; not safe for concurrent use.
+/// Guarantees: at most one attempt per key is granted, unless the router that held the earlier
+/// grant aborted it; a recorded answer never changes; an unfinished entry whose router is gone
+/// becomes "unknown" and stays so. Deterministic; not safe for concurrent use.
 class Ledger {
 public:
-  /// @param clock_ms the replicated clock, milliseconds since the epoch.
+  /// Begins an attempt, or reports the state of an earlier one.
+  /// @param clock_ms replicated clock, milliseconds since the epoch
   v1::LedgerReply begin(const v1::LedgerBeginRequest& request, uint64_t clock_ms);
+  /// Records the answer of an attempt, or that its outcome is unknown.
   v1::LedgerReply finish(const v1::LedgerFinishRequest& request);
+  /// Withdraws an attempt, so that another one may begin.
   v1::LedgerReply abort(const v1::LedgerAbortRequest& request);
 
-  /// Entries that a router incarnation has begun and not finished become "unknown".
+  /// Sets the entries that a router incarnation has begun and not finished to "unknown".
   void markUnknown(const std::string& router, uint64_t incarnation);
 
-  /// Forgets entries begun before `clock_ms`, except those in progress.
+  /// Removes entries that were begun before `clock_ms`, oldest first, up to the first that is still
+  /// in progress.
   void removeBefore(uint64_t clock_ms);
 
   size_t size() const { return entries_.size(); }
@@ -40,7 +44,8 @@
   };
 
   std::unordered_map<std::string, v1::LedgerEntry> entries_;
-  /// Keys by age; may name keys that were begun anew since.
+  /// Keys in the order in which they were begun. May contain outdated elements for keys that were
+  /// begun again.
   std::deque<Age> ages_;
 };
 
--- a/src/core/control/replicated_state.cc
+++ b/src/core/control/replicated_state.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Changes whose first answer is remembered for resends: five days at 1,900 changes a day.
+/// Number of changes whose first answer is kept for resent requests: five days at 1,900 changes a
+/// day.
 constexpr size_t kMaxRecordedChanges = 10'000;
 constexpr uint64_t kMillisecondsPerHour = 3'600'000;
 constexpr uint32_t kDefaultLedgerRetentionHours = 48;
@@ -106,7 +107,7 @@
   removeExpiredLedgerEntries();
   const v1::RouterEntry* router = findRouter(request.router());
   if (router == nullptr || router->incarnation() != request.incarnation()) {
-    // Nothing would mark the entry "unknown" if this router went away.
+    // If this router went away, nothing would set its entry to "unknown".
     v1::LedgerReply reply;
     reply.set_outcome(v1::LEDGER_REFUSED);
     return reply;
@@ -122,7 +123,8 @@
     *routers->Add() = router;
   } else {
     if (found->incarnation() != router.incarnation()) {
-      // The process was started anew on the same address: the one before is gone.
+      // The router's process was restarted under the same name, so the previous incarnation is
+      // gone.
       ledger_.markUnknown(found->name(), found->incarnation());
     }
     *found = router;
--- a/src/core/control/replicated_state.h
+++ b/src/core/control/replicated_state.h
@@ -13,16 +13,17 @@
 
 namespace workshatch::control {
 
-/// The command changed something that has no answer of its own.
+/// Result of a command that has no reply of its own.
 struct Applied {};
 
 using CommandResult = std::variant<Applied, v1::ApplyReply, v1::LedgerReply>;
 
-/// What every control replica computes from the committed commands, in their order.
+/// State machine that every control replica computes by applying the committed commands in log
+/// order.
 ///
-/// Guarantees: revisions and view numbers only grow; of changes with equal expected revisions
-/// exactly one is taken; a resent change gets its first answer as long as it is remembered.
-/// Deterministic; not safe for concurrent use.
+/// Guarantees: revisions and view numbers never decrease; of several changes with the same expected
+/// revision exactly one is accepted; a resent change receives its first answer as long as that is
+/// recorded. Deterministic; not safe for concurrent use.
 class ReplicatedState {
 public:
   CommandResult apply(const v1::Command& command);
@@ -35,8 +36,10 @@
   /// @return the router's entry in the view, or null.
   const v1::RouterEntry* findRouter(const std::string& name) const;
 
+  /// @return the whole state as a serialized snapshot.
   std::string save() const;
-  /// @return false when the bytes are not a snapshot.
+  /// Replaces the state by a snapshot.
+  /// @return false when `bytes` is not a snapshot.
   bool restore(const std::string& bytes);
 
 private:
@@ -46,7 +49,7 @@
   void registerRouter(const v1::RouterEntry& router);
   void dropRouters(const v1::DropRouters& drop);
   void recordChange(v1::AppliedChange change);
-  /// First answer to `request_id`, or null.
+  /// @return the recorded change with this request ID, or null.
   const v1::AppliedChange* findChange(const std::string& request_id) const;
   void removeExpiredLedgerEntries();
 
@@ -55,7 +58,7 @@
   v1::Configuration configuration_;
   v1::View view_;
   Ledger ledger_;
-  /// Answers by request id, oldest first in `change_order_`.
+  /// Recorded changes by request ID; `change_order_` has the IDs, oldest first.
   std::unordered_map<std::string, v1::AppliedChange> changes_;
   std::deque<std::string> change_order_;
 };
--- a/src/core/control/router_leases.cc
+++ b/src/core/control/router_leases.cc
@@ -76,9 +76,9 @@
 const RouterLeases::RouterRecord* RouterLeases::findRecentlyRenewed(const v1::RouterEntry& router,
                                                                     int64_t now_ms) const {
   const RouterRecord* record = find(router);
-  const bool heard =
+  const bool recent =
       record != nullptr && now_ms - record->renewed_ms <= options_.max_load_report_age_ms;
-  return heard ? record : nullptr;
+  return recent ? record : nullptr;
 }
 
 std::vector<v1::RouterKey> RouterLeases::silentRouters(const v1::View& view, int64_t now_ms) const {
@@ -94,22 +94,22 @@
 }
 
 std::vector<v1::PoolLoad> RouterLeases::poolTotals(const v1::View& view, int64_t now_ms) const {
-  std::map<std::string, v1::PoolLoad> sums;
+  std::map<std::string, v1::PoolLoad> totals_by_pool;
   for (const v1::RouterEntry& router : view.routers()) {
     const RouterRecord* record = findRecentlyRenewed(router, now_ms);
     if (record == nullptr) {
       continue;
     }
     for (const v1::PoolLoad& load : record->loads) {
-      v1::PoolLoad& sum = sums[load.service()];
-      sum.set_service(load.service());
-      sum.set_load(sum.load() + load.load());
-      sum.set_engines(sum.engines() + load.engines());
+      v1::PoolLoad& total = totals_by_pool[load.service()];
+      total.set_service(load.service());
+      total.set_load(total.load() + load.load());
+      total.set_engines(total.engines() + load.engines());
     }
   }
   std::vector<v1::PoolLoad> result;
-  for (auto& [service, sum] : sums) {
-    result.push_back(std::move(sum));
+  for (auto& [service, total] : totals_by_pool) {
+    result.push_back(std::move(total));
   }
   return result;
 }
--- a/src/core/control/router_manager.cc
+++ b/src/core/control/router_manager.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A command that had no effect after this long is proposed again.
+/// Time after which a command without effect is proposed again.
 constexpr int64_t kReproposeAfterMs = 1000;
 
 } // namespace
@@ -26,15 +26,15 @@
                                             const ReplicatedState& state, int64_t now_ms) {
   Renewal renewal;
   const v1::RouterEntry* known = state.findRouter(request.router().name());
-  const bool same_start =
+  const bool same_incarnation =
       known != nullptr && known->incarnation() == request.router().incarnation();
-  const bool registered = same_start && known->state() == request.router().state();
+  const bool registered = same_incarnation && known->state() == request.router().state();
   if (!registered && registrationDue(request.router(), now_ms)) {
     renewal.command.emplace();
     *renewal.command->mutable_register_router() = request.router();
   }
   v1::RenewReply& reply = renewal.reply;
-  if (same_start) {
+  if (same_incarnation) {
     leases_.recordRenewal(request, now_ms);
     reply.set_lease_ms(static_cast<uint32_t>(options_.lease_ms));
   }
--- a/src/core/control/router_manager.h
+++ b/src/core/control/router_manager.h
@@ -1,5 +1,6 @@
 /// @file
-/// What the control leader does for routers: leases, registration, removal of those that are gone.
+/// Tasks of the control leader for routers: granting leases, registering routers, and dropping
+/// routers whose leases have expired.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +14,29 @@
 
 namespace workshatch::control {
 
-/// Duties of one term of leadership; a new leader starts anew. Reads the replicated state and gives
-/// commands to propose; does no I/O. Times are milliseconds of the leader's monotonic clock. Not
-/// safe for concurrent use.
+/// State of one term of leadership; a new leader starts with a new object. Reads the replicated
+/// state and returns commands to propose; performs no I/O. Times are milliseconds of the leader's
+/// monotonic clock. Not safe for concurrent use.
 class RouterManager {
 public:
   explicit RouterManager(LeaseOptions options) : options_(options), leases_(options) {}
 
   struct Renewal {
     v1::RenewReply reply;
-    /// To propose: the router's registration.
+    /// Command that registers the router, when one has to be proposed.
     std::optional<v1::Command> command;
   };
 
-  /// Answers a renewal. Called only while no other replica can be leader.
+  /// Answers a lease renewal. May only be called while no other replica can be leader.
   Renewal renew(const v1::RenewRequest& request, const ReplicatedState& state, int64_t now_ms);
 
-  /// The command that drops routers whose leases have lapsed, when it is due. One drop at a time:
-  /// a majority of the view before it acknowledges each.
+  /// @return the command that drops routers whose leases have expired, when one is due. Only one
+  /// drop is in progress at a time: it ends when a majority of the routers of the previous view has
+  /// acknowledged the new view.
   std::optional<v1::Command> dropExpired(const ReplicatedState& state, int64_t now_ms);
 
-  /// @return whether every router that serves, or may serve, has `revision` in force.
+  /// @return whether every router that serves requests, or may still do so, has `revision` in
+  /// force.
   bool isActiveOnAllRouters(const ReplicatedState& state, uint64_t revision) const;
 
   const RouterLeases& leases() const { return leases_; }
@@ -45,13 +48,15 @@
     int64_t proposed_ms = 0;
   };
 
+  /// @return whether the router's registration has to be proposed now. If so, the proposal is
+  /// recorded.
   bool registrationDue(const v1::RouterEntry& router, int64_t now_ms);
 
   const LeaseOptions options_;
   RouterLeases leases_;
-  /// Registrations proposed last, by router.
+  /// Last proposed registration of each router.
   std::map<std::string, Registration> registrations_;
-  /// View under which a drop was proposed last, and when.
+  /// View under which a drop was last proposed, and the time of the proposal.
   uint64_t drop_view_ = 0;
   int64_t drop_proposed_ms_ = 0;
 };
--- a/tests/unit/core/control/ledger_test.cc
+++ b/tests/unit/core/control/ledger_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The ledger and the replicated state: every path by which a key could run twice or an operator
-/// could get two answers.
+/// Tests of the ledger and the replicated state: a key must never run twice, and an operator must
+/// never get two different answers to one change.
 #include <doctest/doctest.h>
 
 #include "core/control/replicated_state.h"
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("of two attempts under one key only the first is granted") {
+TEST_CASE("of two attempts with one key only the first is granted") {
   control::Ledger ledger;
   CHECK(ledger.begin(beginOf("k", 1), 0).outcome() == v1::LEDGER_GRANTED);
   CHECK(ledger.begin(beginOf("k", 1), 0).outcome() == v1::LEDGER_GRANTED);
@@ -65,7 +65,7 @@
   CHECK(ledger.begin(beginOf("k", 2), 0).answer().body() == "first");
 }
 
-TEST_CASE("an entry whose router is gone is unknown for good") {
+TEST_CASE("the outcome of an entry whose router is gone stays unknown") {
   control::Ledger ledger;
   ledger.begin(beginOf("k", 1), 0);
   ledger.markUnknown("entry-1", 7);
@@ -75,7 +75,7 @@
   CHECK(ledger.begin(beginOf("k", 2), 0).outcome() == v1::LEDGER_OUTCOME_UNKNOWN);
 }
 
-TEST_CASE("an aborted attempt cannot begin afterwards, another can") {
+TEST_CASE("an aborted attempt is refused, and another attempt is granted") {
   control::Ledger ledger;
   ledger.abort(abortOf("k", 1));
   CHECK(ledger.begin(beginOf("k", 1), 0).outcome() == v1::LEDGER_REFUSED);
@@ -84,7 +84,7 @@
   CHECK(ledger.begin(beginOf("k", 3), 0).outcome() == v1::LEDGER_IN_PROGRESS);
 }
 
-TEST_CASE("retention forgets finished entries and keeps those in progress") {
+TEST_CASE("retention removes finished entries and keeps those in progress") {
   control::Ledger ledger;
   ledger.begin(beginOf("old", 1), 100);
   ledger.finish(finishOf("old", 1, "answer"));
@@ -94,14 +94,15 @@
   CHECK(ledger.begin(beginOf("open", 2), 1000).outcome() == v1::LEDGER_IN_PROGRESS);
 }
 
-TEST_CASE("a router that is not registered begins nothing") {
+TEST_CASE("a router that is not registered cannot begin a ledger entry") {
   control::ReplicatedState state;
   v1::Command command;
   *command.mutable_ledger_begin() = beginOf("k", 1);
   CHECK(std::get<v1::LedgerReply>(state.apply(command)).outcome() == v1::LEDGER_REFUSED);
 }
 
-TEST_CASE("equal expected revisions have one winner, and resends get the first answer") {
+TEST_CASE(
+    "of changes with equal expected revisions one is accepted, and resends get the first answer") {
   control::ReplicatedState state;
   CHECK(applyTo(state, "a", 0, "one").state() == v1::APPLY_PENDING);
   const v1::ApplyReply loser = applyTo(state, "b", 0, "two");
@@ -119,7 +120,7 @@
   CHECK(restarted.revision() == 2);
 }
 
-TEST_CASE("a snapshot holds the whole state") {
+TEST_CASE("a snapshot contains the whole state") {
   control::ReplicatedState state;
   v1::Command command;
   command.mutable_register_router()->set_name("entry-1");
