--- a/src/core/raft/raft_election.cc
+++ b/src/core/raft/raft_election.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Elections: pre-vote, vote, check-quorum and leadership transfer.
+/// Elections of a RaftNode: pre-vote, vote, check-quorum and leadership transfer.
 #include <algorithm>
 #include <utility>
 
@@ -86,11 +86,11 @@
       message.log_term() > log_.lastTerm() ||
       (message.log_term() == log_.lastTerm() && message.log_index() >= log_.lastIndex());
   const bool leader_alive = hasRecentLeaderContact() && !message.leader_transfer();
-  const bool free_to_vote =
+  const bool may_vote =
       pre_vote ? message.term() > term()
                : message.term() == term() &&
                      (hard_state_.voted_for() == 0 || hard_state_.voted_for() == message.from());
-  const bool granted = up_to_date && !leader_alive && free_to_vote;
+  const bool granted = up_to_date && !leader_alive && may_vote;
   if (granted && !pre_vote) {
     hard_state_.set_voted_for(message.from());
     hard_state_changed_ = true;
@@ -99,7 +99,7 @@
   v1::RaftMessage reply;
   reply.set_type(pre_vote ? v1::RAFT_PRE_VOTE_REPLY : v1::RAFT_VOTE_REPLY);
   reply.set_to(message.from());
-  // A granted pre-vote echoes the term asked for, which the candidate has not entered yet.
+  // A granted pre-vote carries the requested term, which the candidate has not entered yet.
   reply.set_term(granted ? message.term() : term());
   reply.set_reject(!granted);
   if (reply.term() != 0) {
@@ -144,10 +144,11 @@
     return hasLeaderLease();
   }
   if (options_.withhold_votes_after_restart && restarted_ && now_ < options_.election_ticks) {
-    // What this replica heard before it started is not known: a leader may rely on it.
+    // Whether this replica had contact with a leader before its restart is unknown. A leader may
+    // still rely on that contact for its lease.
     return true;
   }
-  // A leader that is heard before the first tick counts as heard at it.
+  // Zero means no contact; a message that arrives before the first tick is recorded as tick 1.
   return leader_ != 0 && last_leader_tick_ != 0 &&
          now_ < last_leader_tick_ + options_.election_ticks;
 }
@@ -181,7 +182,8 @@
   if (voterCount() == 1) {
     return true;
   }
-  // One tick less than the followers wait, for the difference between two tick counters.
+  // The lease ends one tick before the followers' timeout, to allow for the difference between two
+  // tick counters.
   return last_quorum_tick_ != 0 && now_ - last_quorum_tick_ + 1 < options_.election_ticks;
 }
 
--- a/src/core/raft/raft_log.cc
+++ b/src/core/raft/raft_log.cc
@@ -72,8 +72,8 @@
 
 void RaftLog::compact(v1::RaftSnapshot snapshot, uint64_t trailing) {
   WORKSHATCH_CHECK(contains(snapshot.index()), "snapshot outside the log");
-  const uint64_t wanted = snapshot.index() > trailing ? snapshot.index() - trailing : 0;
-  const uint64_t base = std::max(baseIndex(), wanted);
+  const uint64_t oldest_needed = snapshot.index() > trailing ? snapshot.index() - trailing : 0;
+  const uint64_t base = std::max(baseIndex(), oldest_needed);
   v1::RaftEntry base_entry = baseEntry(base, termAt(base));
   entries_.erase(entries_.begin(), entries_.begin() + static_cast<int64_t>(base - baseIndex()));
   entries_.front() = std::move(base_entry);
--- a/src/core/raft/raft_node.cc
+++ b/src/core/raft/raft_node.cc
@@ -116,7 +116,8 @@
     ready_.reads.push_back(ReadConfirmation{.context = context, .index = 0, .confirmed = false});
     return;
   }
-  // Answered by the next round: one that starts after the read was asked for.
+  // The read is confirmed by a heartbeat round that starts after the request, the next one at the
+  // earliest.
   pending_reads_.push_back(
       PendingRead{.context = context, .index = commit_index_, .round = round_ + 1});
   if (voterCount() == 1 || pending_reads_.size() == 1) {
--- a/src/core/raft/raft_replication.cc
+++ b/src/core/raft/raft_replication.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Replication: appends, snapshots, the commit index and read index.
+/// Replication of a RaftNode: appends, snapshots, the commit index and confirmation of reads.
 #include <algorithm>
 #include <utility>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A snapshot that was not answered is sent again after this many election timeouts.
+/// Number of election timeouts after which an unanswered snapshot is sent again.
 constexpr uint64_t kSnapshotRetryElections = 4;
 
 } // namespace
@@ -32,8 +32,8 @@
   ++round_;
   round_ticks_[round_] = now_;
   for (const auto& [peer, progress] : progress_) {
-    // Entries under way are not sent again: a follower that lacks them rejects this heartbeat,
-    // which names the last of them.
+    // Entries in flight are not sent again. A follower that lacks them rejects this heartbeat,
+    // which refers to the last of them.
     sendAppend(peer, true);
   }
   confirmReads();
@@ -73,7 +73,8 @@
   message.set_commit(commit_index_);
   message.set_round(round_);
   if (outstanding) {
-    // A heartbeat at the base keeps the follower from standing for election meanwhile.
+    // A heartbeat at the snapshot's index keeps the follower from starting an election while the
+    // snapshot is in flight.
     message.set_type(v1::RAFT_APPEND);
     message.set_log_index(log_.snapshot().index());
     message.set_log_term(log_.snapshot().term());
@@ -103,7 +104,7 @@
   resetElectionTimer();
 
   if (message.log_index() < commit_index_) {
-    // Committed entries match the leader's by definition.
+    // Committed entries always match the leader's.
     reply.set_match_index(commit_index_);
   } else if (log_.contains(message.log_index()) &&
              log_.termAt(message.log_index()) == message.log_term()) {
@@ -150,7 +151,7 @@
   if (!log_.contains(index)) {
     return commit_index_;
   }
-  // Skips the whole term that conflicts, but nothing committed.
+  // Skips all entries of the conflicting term, but no committed ones.
   const uint64_t conflict_term = log_.termAt(index);
   uint64_t hint = index;
   while (hint > commit_index_ && hint > log_.baseIndex() && log_.termAt(hint) == conflict_term) {
@@ -184,7 +185,7 @@
     advanceCommit();
   }
   if (role_ != RaftRole::Leader) {
-    // The commit removed this replica from the group; `progress` is gone.
+    // The commit removed this replica from the group and invalidated `progress`.
     return;
   }
   if (transfer_target_ == message.from() && progress.match == log_.lastIndex()) {
@@ -218,7 +219,7 @@
   const bool has_entry =
       log_.contains(snapshot.index()) && log_.termAt(snapshot.index()) == snapshot.term();
   if (snapshot.index() > commit_index_ && has_entry) {
-    // What stands behind the snapshot may have been acknowledged; the log stays (rule 6 of
+    // The log is kept, because entries after the snapshot may have been acknowledged (rule 6 of
     // InstallSnapshot in the paper).
     commitTo(snapshot.index());
   } else if (snapshot.index() > commit_index_) {
--- a/tests/unit/core/raft/raft_replication_test.cc
+++ b/tests/unit/core/raft/raft_replication_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What a leader sends to followers whose answers are still on their way.
+/// Tests of elections after restarts, and of appends and heartbeats while earlier messages are in
+/// flight or lost.
 #include <map>
 #include <memory>
 #include <vector>
@@ -13,7 +14,7 @@
 
 namespace {
 
-/// Three nodes whose writes are durable at once; messages are kept until a test delivers them.
+/// Three nodes whose writes are durable at once. Messages are kept until a test delivers them.
 class ThreeNodes {
 public:
   explicit ThreeNodes(raft::RaftOptions options = {}) {
@@ -31,7 +32,7 @@
     }
   }
 
-  /// As after a kill: what was written stays.
+  /// Restarts a node as after a kill: its written state is kept.
   void restart(uint64_t id, raft::RaftOptions options) {
     raft::RaftRecovery recovery;
     recovery.hard_state = at(id).hardState();
@@ -41,7 +42,7 @@
 
   raft::RaftNode& at(uint64_t id) { return *nodes_.at(id); }
 
-  /// Lets time pass until one leads. @return the leader.
+  /// Advances time until a node is elected. @return the leader.
   raft::RaftNode& elect() {
     while (true) {
       ++ticks_;
@@ -55,10 +56,10 @@
     }
   }
 
-  /// Ticks that `elect` let pass.
+  /// Number of ticks by which `elect` advanced time.
   int ticks() const { return ticks_; }
 
-  /// What node `id` wants sent.
+  /// Takes the messages that node `id` has to send, and reports its writes as durable.
   std::vector<v1::RaftMessage> takeMessages(uint64_t id) {
     raft::RaftReady ready = at(id).takeReady();
     at(id).persisted();
@@ -98,23 +99,23 @@
 
 } // namespace
 
-TEST_CASE("after a restart of all replicas a leader is elected at once where no lease counts") {
+TEST_CASE("after a restart of all replicas an early election happens only without leader leases") {
   raft::RaftOptions options;
   options.first_election_ticks = 4;
-  SUBCASE("no lease counts") {
+  SUBCASE("leader leases are not used") {
     options.withhold_votes_after_restart = false;
     ThreeNodes group(options);
     group.elect();
     CHECK(group.ticks() <= 4);
   }
-  SUBCASE("a leader may rely on its lease") {
+  SUBCASE("leader leases are used") {
     ThreeNodes group(options);
     group.elect();
     CHECK(group.ticks() >= static_cast<int>(options.election_ticks));
   }
 }
 
-TEST_CASE("a replica that restarts beside a living leader does not unseat it") {
+TEST_CASE("a replica that restarts does not unseat an active leader") {
   raft::RaftOptions options;
   options.first_election_ticks = 4;
   options.withhold_votes_after_restart = false;
@@ -123,7 +124,7 @@
   const uint64_t term = leader.term();
   const uint64_t other = leader.id() == 1 ? 2 : 1;
   group.restart(other, options);
-  // Its first election comes before it hears the leader.
+  // Its first election starts before it receives a message from the leader.
   for (int i = 0; i < 4; ++i) {
     group.at(other).tick();
   }
@@ -135,7 +136,7 @@
   CHECK(group.at(other).leader() == leader.id());
 }
 
-TEST_CASE("heartbeats do not carry entries that are still on their way") {
+TEST_CASE("heartbeats do not carry entries that are still in flight") {
   ThreeNodes group;
   raft::RaftNode& leader = group.elect();
   REQUIRE(leader.propose("a large command"));
@@ -149,7 +150,7 @@
   }
   CHECK(heartbeats.size() == 10);
   CHECK(entriesIn(heartbeats) == 0);
-  // All arrive late, in order.
+  // All messages arrive late, but in order.
   const uint64_t committed_before = leader.commitIndex();
   group.deliver(appends);
   group.deliver(heartbeats);
@@ -157,7 +158,7 @@
   CHECK(leader.commitIndex() == committed_before + 1);
 }
 
-TEST_CASE("entries that were lost are sent again after the next heartbeat") {
+TEST_CASE("lost entries are sent again after the next heartbeat") {
   ThreeNodes group;
   raft::RaftNode& leader = group.elect();
   REQUIRE(leader.propose("lost on its way"));
--- a/tests/unit/core/raft/raft_simulation_test.cc
+++ b/tests/unit/core/raft/raft_simulation_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Thousands of seeded histories of the replicated log under faults.
+/// Randomized tests of the replicated log: thousands of seeded histories with faults.
 #include <doctest/doctest.h>
 
 #include "simulated_group.h"
@@ -24,7 +24,7 @@
   return command;
 }
 
-/// Replicas restart fast, and leaders are cut off.
+/// Fault rates with quick restarts and frequent isolation of replicas.
 FaultRates fastRestarts() {
   FaultRates rates;
   rates.isolate = 15;
@@ -35,18 +35,18 @@
   return rates;
 }
 
-/// Runs one history and checks that the group comes back to work after it heals.
+/// Runs one history and checks that the group makes progress again after the faults end.
 void runHistory(uint64_t seed, size_t replicas, FaultRates rates, HistoryTotals& totals,
                 bool leases = true) {
   SimulatedGroup group(seed, replicas, rates, leases);
   uint64_t change = 0;
   const auto work = [&] {
     for (auto& replica : group.replicas()) {
-      const bool asks = replica->up && !replica->frozen && replica->node->isLeader();
-      if (asks && group.random().below(3) == 0) {
+      const bool leads = replica->up && !replica->frozen && replica->node->isLeader();
+      if (leads && group.random().below(3) == 0) {
         group.propose(*replica, changeOf(change++));
       }
-      if (asks && group.random().below(4) == 0) {
+      if (leads && group.random().below(4) == 0) {
         group.requestRead(*replica);
       }
     }
@@ -64,7 +64,7 @@
   if (group.violation().empty() && group.highestCommit() <= before) {
     group.fail("no progress after the faults ended");
   }
-  // A seed reproduces the history.
+  // The seed reproduces the history.
   REQUIRE_MESSAGE(group.violation().empty(), "seed " << seed << " " << group.violation());
   ++totals.histories;
   totals.committed += group.highestCommit();
@@ -73,7 +73,8 @@
 
 } // namespace
 
-TEST_CASE("raft keeps its promises over 2,000 histories with loss, crashes, freezes and cuts") {
+TEST_CASE(
+    "raft keeps its guarantees over 2,000 histories with loss, crashes, freezes and partitions") {
   HistoryTotals totals;
   for (uint64_t seed = 1; seed <= 1600; ++seed) {
     runHistory(seed, 3, FaultRates{}, totals);
@@ -86,7 +87,7 @@
 }
 
 TEST_CASE(
-    "a leader's lease and its reads hold when replicas restart fast and leaders are cut off") {
+    "leader leases and reads stay valid when replicas restart quickly and leaders are isolated") {
   HistoryTotals totals;
   const FaultRates rates = fastRestarts();
   for (uint64_t seed = 3001; seed <= 3600; ++seed) {
@@ -95,7 +96,8 @@
   CHECK(totals.histories == 600);
 }
 
-TEST_CASE("reads hold without leases, when replicas restart fast and stand for election at once") {
+TEST_CASE(
+    "reads stay valid without leases when replicas restart quickly and start elections early") {
   HistoryTotals totals;
   const FaultRates rates = fastRestarts();
   for (uint64_t seed = 7001; seed <= 7600; ++seed) {
@@ -108,7 +110,7 @@
   CHECK(totals.reads > 10'000);
 }
 
-TEST_CASE("raft loses nothing when disks are lost and replicas replaced") {
+TEST_CASE("raft loses no committed entry when disks are lost and replicas replaced") {
   HistoryTotals totals;
   FaultRates rates;
   rates.lose_disk = 15;
--- a/tests/unit/core/raft/simulated_group.cc
+++ b/tests/unit/core/raft/simulated_group.cc
@@ -23,7 +23,7 @@
 
 void SimulatedDisk::write(const raft::RaftReady& ready, size_t max_records) {
   if (ready.snapshot) {
-    // Replaced by renaming a whole file: all or nothing.
+    // The file is replaced by a rename, so it is written completely or not at all.
     if (max_records == 0) {
       return;
     }
@@ -122,9 +122,9 @@
 
 bool SimulatedGroup::propose(SimulatedReplica& replica, v1::Command command) {
   command.set_clock_ms(static_cast<uint64_t>(now_ms_));
-  const bool taken = replica.node->propose(command.SerializeAsString()).has_value();
+  const bool accepted = replica.node->propose(command.SerializeAsString()).has_value();
   processReady(replica);
-  return taken;
+  return accepted;
 }
 
 void SimulatedGroup::requestRead(SimulatedReplica& replica) {
@@ -165,7 +165,7 @@
       if (read.confirmed) {
         ++confirmed_reads_;
         if (read.index < reads_[read.context].least_index) {
-          fail("a read misses what was committed before it");
+          fail("a confirmed read misses an entry that was committed before it");
         }
       }
     }
@@ -218,7 +218,7 @@
   std::vector<Flight> later;
   for (Flight& flight : flights_) {
     const SimulatedReplica* target = find(flight.message.to());
-    // What reaches a frozen replica waits in its socket.
+    // Messages to a frozen replica wait in its socket.
     const bool waits = target != nullptr && target->frozen;
     (flight.at_ms <= now_ms_ && !waits ? due : later).push_back(std::move(flight));
   }
@@ -256,7 +256,7 @@
 
 void SimulatedGroup::crash(SimulatedReplica& replica, bool torn) {
   if (torn && replica.node->isLeader()) {
-    // The next write that it makes is torn.
+    // The replica crashes during its next write, which is torn.
     tear_next_ = replica.id;
     return;
   }
@@ -299,10 +299,10 @@
     }
     injectCuts(*replica);
   }
-  const bool all_well = std::all_of(replicas_.begin(), replicas_.end(), [](const auto& replica) {
+  const bool all_healthy = std::all_of(replicas_.begin(), replicas_.end(), [](const auto& replica) {
     return replica->up && !replica->frozen;
   });
-  if (all_well && chance(rates_.lose_disk)) {
+  if (all_healthy && chance(rates_.lose_disk)) {
     SimulatedReplica& victim = *replicas_[random_.below(replicas_.size())];
     victim.lost = true;
     victim.up = false;
@@ -313,7 +313,8 @@
   }
 }
 
-/// An operator's steps to replace lost replicas, one change at a time, as the daemon takes them.
+/// Replaces lost replicas as an operator does: one membership change at a time, in the order in
+/// which the daemon makes them.
 void SimulatedGroup::replaceLost() {
   SimulatedReplica* leading = leader();
   if (leading == nullptr) {
@@ -366,13 +367,13 @@
     }
     if (leases_ && replica->node->hasLeaderLease()) {
       if (leased != nullptr) {
-        fail("two leaders rely on their leases");
+        fail("two leaders have a valid lease");
       }
       leased = replica.get();
     }
   }
   if (leased != nullptr && leased->node->term() < highest_term) {
-    fail("a leader relies on its lease while a later one leads");
+    fail("a leader has a valid lease although a later term has a leader");
   }
 }
 
--- a/tests/unit/core/raft/simulated_group.h
+++ b/tests/unit/core/raft/simulated_group.h
@@ -1,7 +1,7 @@
 /// @file
-/// A control group in simulated time: replicas with the state machine and the leader's duties,
-/// disks that tear and get lost, a network that loses, repeats, delays and cuts. A seed determines
-/// a whole history.
+/// Simulation of a control group: replicas with the state machine and the leader's tasks for
+/// routers, disks with torn writes and losses, and a network that loses, repeats, delays and blocks
+/// messages. A seed determines the whole history.
 #pragma once
 
 #include <functional>
@@ -24,13 +24,14 @@
 constexpr uint32_t kFirstElectionTicks = 4;
 constexpr int64_t kLeaseMs = 1500;
 
-/// What a replica's disk holds.
+/// Contents of a replica's disk.
 struct SimulatedDisk {
   v1::RaftHardState hard_state;
   v1::RaftSnapshot snapshot;
   /// Base entry first.
   std::vector<v1::RaftEntry> entries;
 
+  /// Stores at most `max_records` records of `ready`, as a torn write does.
   void write(const raft::RaftReady& ready, size_t max_records);
   raft::RaftRecovery recover() const;
 };
@@ -46,36 +47,38 @@
   bool up = true;
   bool frozen = false;
   bool lost = false;
-  /// Ticks missed while frozen.
+  /// Ticks that passed while the replica was frozen.
   int64_t missed_ticks = 0;
 };
 
+/// Rates of the injected faults.
 struct FaultRates {
-  /// Parts of a thousand, for each message.
+  /// Per thousand messages.
   uint64_t lose = 50;
   uint64_t repeat = 30;
-  /// Parts of a thousand, for each step.
+  /// Per thousand steps.
   uint64_t crash = 4;
   uint64_t freeze = 4;
   uint64_t cut = 4;
-  /// Cuts a replica off from all others.
+  /// Isolates a replica from all others.
   uint64_t isolate = 4;
-  /// How soon a crashed replica starts again.
+  /// Restart of a crashed replica.
   uint64_t restart = 100;
   uint64_t lose_disk = 0;
 };
 
-/// Checks, after each step: one leader a term; committed entries equal everywhere and for good; no
-/// other leader while one relies on its lease. A violation is kept in `violation()`.
+/// A group whose invariants are checked after each step: one leader per term; committed entries are
+/// equal on all replicas and never change; no leader relies on its lease while another one relies
+/// on its own or leads a later term. The first violation is kept in `violation()`.
 class SimulatedGroup {
 public:
-  /// @param leases leaders rely on their leases, so that restarted replicas hold their votes;
-  /// without them replicas stand for election at once after a restart
+  /// @param leases whether leaders rely on leases, which requires that restarted replicas withhold
+  /// their votes; without leases replicas start an election soon after a restart
   SimulatedGroup(uint64_t seed, size_t replicas, FaultRates rates, bool leases = true);
 
-  /// One tick of time for everybody, with deliveries and faults.
+  /// Advances time by one tick, with message deliveries and faults.
   void step();
-  /// No more faults; cuts heal, replicas come back.
+  /// Ends all faults: connections are restored and replicas restarted.
   void healAll();
 
   SimulatedReplica* leader();
@@ -83,22 +86,23 @@
   SeededRandom& random() { return random_; }
   int64_t nowMs() const { return now_ms_; }
 
-  /// Proposes on a replica that believes that it leads.
+  /// Proposes a command on a replica that considers itself the leader.
   bool propose(SimulatedReplica& replica, v1::Command command);
-  /// Highest index known to be committed by anybody.
+  /// Highest index that any replica has committed.
   uint64_t highestCommit() const { return committed_.empty() ? 0 : committed_.rbegin()->first; }
-  /// Asks a replica for a linearizable read; a later confirmation is checked against what was
-  /// committed before now.
+  /// Requests a linearizable read from a replica. Its confirmation is checked against what was
+  /// committed before the request.
   void requestRead(SimulatedReplica& replica);
   uint64_t confirmedReads() const { return confirmed_reads_; }
 
   const std::string& violation() const { return violation_; }
   void fail(const std::string& text);
 
-  /// Calls after each change of a replica's state, for further checks.
+  /// Called after each command that a replica applies, for further checks.
   std::function<void(SimulatedReplica&)> on_applied;
 
 private:
+  /// A message in flight.
   struct Flight {
     int64_t at_ms = 0;
     v1::RaftMessage message;
@@ -127,7 +131,7 @@
   int64_t now_ms_ = 0;
   std::vector<std::unique_ptr<SimulatedReplica>> replicas_;
   std::vector<Flight> flights_;
-  /// Ordered pairs of replicas between which nothing passes.
+  /// Ordered pairs of sender and receiver between which messages are dropped.
   std::set<std::pair<uint64_t, uint64_t>> cuts_;
   std::map<uint64_t, uint64_t> leader_of_term_;
   std::map<uint64_t, std::string> committed_;
@@ -136,7 +140,7 @@
   uint64_t confirmed_reads_ = 0;
   uint64_t next_id_ = 1;
   std::string violation_;
-  /// A crash tears the write in progress of this replica.
+  /// ID of the replica whose next write is torn by a crash; zero: none.
   uint64_t tear_next_ = 0;
 };
 
