--- a/src/core/routing/engine_owner.h
+++ b/src/core/routing/engine_owner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which router owns an engine, known from the view alone.
+/// Computes which router owns an engine, from the view alone.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace workshatch::routing {
 
-/// The router that owns an engine: of the active routers in the engine's zone, else of all active
-/// ones, the one with the highest weight.
+/// Computes the owner of an engine: among the active routers in the engine's zone or, if there are
+/// none, among all active routers, the one with the highest rendezvous weight.
 /// @return null when no router of the view is active.
 const v1::RouterEntry* ownerOf(const v1::View& view, const std::string& engine,
                                const std::string& zone);
--- a/src/core/routing/ownership_cache.h
+++ b/src/core/routing/ownership_cache.h
@@ -1,5 +1,6 @@
 /// @file
-/// Remembers which engines one router owns under a view, since the owner follows from the view.
+/// Cache of which engines one router owns. Ownership depends only on the view, so entries are valid
+/// as long as the view does not change.
 #pragma once
 
 #include <memory>
@@ -10,12 +11,12 @@
 
 namespace workshatch::routing {
 
-/// Not safe for concurrent use.
+/// Caches results of `ownerOf` for one router. Not safe for concurrent use.
 class OwnershipCache {
 public:
   explicit OwnershipCache(std::string router) : router_(std::move(router)) {}
 
-  /// @return whether the router owns the engine under `view`. A new view starts the memo anew.
+  /// @return whether the router owns the engine under `view`. A different view clears the cache.
   bool owns(const std::shared_ptr<const v1::View>& view, const std::string& engine,
             const std::string& zone);
 
--- a/src/core/routing/rendezvous.h
+++ b/src/core/routing/rendezvous.h
@@ -14,17 +14,17 @@
 
 namespace workshatch::routing {
 
-/// @return the fingerprint of a session or prefix name; never zero, which means "no session".
+/// @return the hash of a session or prefix name; never zero, which means "no session".
 uint64_t fingerprintOf(std::string_view text);
 
 /// @return the weight of `node` for `key`; the highest weight ranks first.
 uint64_t rendezvousWeight(uint64_t key, std::string_view node);
 
-/// Moves the nodes with the highest weights of their names for `key` to the front, highest first;
-/// each weight is computed once. The others follow in any order: to sort thousands of which a few
-/// are looked at costs several times what finding these does.
-/// @param first how many are ordered
-/// @param name_of gives a node's name
+/// Moves the nodes with the highest weights for `key` to the front, highest first; the order of the
+/// others is unspecified. Each weight is computed once. To sort thousands of nodes of which only a
+/// few are used would cost several times as much as selecting these.
+/// @param first number of nodes to order
+/// @param name_of returns a node's name
 template <typename Node, typename NameOf>
 std::vector<Node> rankTop(uint64_t key, std::vector<Node> nodes, size_t first, NameOf name_of) {
   struct Weighted {
@@ -53,7 +53,7 @@
 }
 
 /// Orders all `nodes` by the weight of their names for `key`, highest first.
-/// @param name_of gives a node's name
+/// @param name_of returns a node's name
 template <typename Node, typename NameOf>
 std::vector<Node> rank(uint64_t key, std::vector<Node> nodes, NameOf name_of) {
   const size_t all = nodes.size();
--- a/src/core/serving/serving_state.cc
+++ b/src/core/serving/serving_state.cc
@@ -14,10 +14,10 @@
       reply.view_number() < snapshot_.view->number()) {
     return false;
   }
-  const bool whole_configuration =
+  const bool configuration_complete =
       reply.has_configuration() || reply.revision() == snapshot_.revision;
-  const bool whole_view = reply.has_view() || reply.view_number() == snapshot_.view->number();
-  if (!whole_configuration || !whole_view) {
+  const bool view_complete = reply.has_view() || reply.view_number() == snapshot_.view->number();
+  if (!configuration_complete || !view_complete) {
     return false;
   }
   if (reply.has_configuration()) {
--- a/src/core/serving/serving_state.h
+++ b/src/core/serving/serving_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// What one router has in force: configuration, view and serving lease.
+/// Serving state of one router: configuration, view and serving lease.
 #pragma once
 
 #include <cstdint>
@@ -10,34 +10,38 @@
 
 namespace workshatch::serving {
 
-/// An immutable copy of what is in force, shared by the requests that run under it.
+/// Immutable copy of the serving state, shared by the requests that run under it.
 struct ServingSnapshot {
   uint64_t revision = 0;
   std::shared_ptr<const v1::Configuration> configuration;
   std::shared_ptr<const v1::View> view;
-  /// Highest view that every router in it has in force.
+  /// Highest number of a view that all routers in it have in force.
   uint64_t settled_view = 0;
-  /// The last view that was in force on every router in it; null: none yet.
+  /// The last view that all routers in it had in force; null: none yet.
   std::shared_ptr<const v1::View> settled;
-  /// End of the serving lease by this router's monotonic clock.
+  /// End of the serving lease, in milliseconds of this router's monotonic clock.
   int64_t lease_until_ms = 0;
 };
 
-/// Guarantees: revision and view never go back; a lease counts from when its renewal was sent and
-/// only together with the configuration that came with it. Not safe for concurrent use.
+/// Tracks what the control leader's answers to lease renewals put in force.
+///
+/// Guarantees: revision and view number never decrease; a lease counts from the time at which its
+/// renewal was sent, and takes effect only together with the configuration that came with it. Not
+/// safe for concurrent use.
 class ServingState {
 public:
   ServingState();
 
-  /// Takes over the answer to a renewal.
-  /// @param sent_ms when the renewal was sent
-  /// @return false when the answer does not fit what is in force and was ignored.
+  /// Applies the answer to a lease renewal.
+  /// @param sent_ms time at which the renewal was sent
+  /// @return false when the answer was ignored, because it is older than the current state or
+  /// incomplete.
   bool applyRenewal(const v1::RenewReply& reply, int64_t sent_ms);
 
   /// @return whether requests may be served now.
   bool mayServe(int64_t now_ms) const;
 
-  /// Takes note that permits of engines with a new owner were reported under this view.
+  /// Records that the permits of engines with a new owner were reported under this view.
   void setReportedView(uint64_t view) { reported_view_ = view; }
 
   uint64_t reportedView() const { return reported_view_; }
--- a/tests/unit/core/routing/fleet_table_test.cc
+++ b/tests/unit/core/routing/fleet_table_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Which engines a router may use: what runners say of themselves, and failures.
+/// Tests of which engines a router may use, given the backoffs that runners request and observed
+/// failures.
 #include <doctest/doctest.h>
 
 #include "core/routing/fleet_table.h"
@@ -25,19 +26,19 @@
 
 } // namespace
 
-TEST_CASE("A router sends requests to all engines of a runner that asked for none") {
+TEST_CASE("A router sends requests to engines of a runner that requested a backoff") {
   routing::FleetTable table = tableOfTwo();
   CHECK(usableEngines(table, 1000) == 3);
   table.recordBackoffRequest("tired", 3000, 1000);
   CHECK(usableEngines(table, 1000) == 1);
-  // A success or a failure of an earlier request does not end it.
+  // The outcome of an earlier request does not end the backoff.
   table.recordSuccess("tired", 1500);
   table.recordFailure("tired", 1500);
   CHECK(usableEngines(table, 3999) == 1);
   CHECK(usableEngines(table, 4000) == 3);
 }
 
-TEST_CASE("A runner that asked for no requests is found as if it wanted them") {
+TEST_CASE("A lookup of an engine ignores the backoff that its runner requested") {
   routing::FleetTable table = tableOfTwo();
   table.recordBackoffRequest("tired", 3000, 1000);
   REQUIRE(table.find("tired/1", 2000));
