--- a/src/ports/clock.h
+++ b/src/ports/clock.h
@@ -1,19 +1,20 @@
 /// @file
-/// Port: time, injected so that a simulation can drive it.
+/// Port: time source, injected so that a simulation can control it.
 #pragma once
 
 #include <cstdint>
 
 namespace workshatch {
 
-/// Safe for concurrent use.
+/// Source of time. Safe for concurrent use.
 class Clock {
 public:
   virtual ~Clock() = default;
 
-  /// Milliseconds of a clock that never goes back and counts the time for which the machine sleeps.
-  /// All bounds that guard others are kept by it: leases, places, paces, budgets, silences. Timers
-  /// of the event loop stand still during a sleep; they only say when to look at this clock again.
+  /// Milliseconds of a clock that never goes back and includes the time for which the machine is
+  /// suspended. All time limits that protect other processes use it: leases, slots, rate limits,
+  /// budgets and timeouts of silent peers. Timers of the event loop stop while the machine is
+  /// suspended; they only determine when this clock is read again.
   virtual int64_t monotonicMs() const = 0;
 
   /// Milliseconds since the epoch.
--- a/src/ports/configuration_codec.h
+++ b/src/ports/configuration_codec.h
@@ -1,5 +1,5 @@
 /// @file
-/// Port: the operator's text of a configuration, and the product's typed form of it.
+/// Port: parser of operators' configuration documents into the typed configuration.
 #pragma once
 
 #include <string_view>
@@ -9,13 +9,13 @@
 
 namespace workshatch {
 
-/// Reads configurations. Stateless; safe for concurrent use.
+/// Parses configuration documents. Stateless; safe for concurrent use.
 class ConfigurationCodec {
 public:
   virtual ~ConfigurationCodec() = default;
 
-  /// @return the configuration, or an error that names the field at fault. The meaning (names that
-  /// are not declared, weights) is not checked here; see relay::findConfigurationError.
+  /// @return the configuration, or an error that names the faulty field. The meaning (undeclared
+  /// names, weights) is not checked here; see relay::findConfigurationError.
   virtual Result<relay::Configuration> decode(std::string_view document) const = 0;
 };
 
--- a/src/ports/log_store.h
+++ b/src/ports/log_store.h
@@ -9,7 +9,7 @@
 
 namespace workshatch {
 
-/// What a replica finds when it starts.
+/// State that a replica reads when it starts.
 struct StoredReplica {
   /// Identity of the replica's data folder; never zero.
   uint64_t id = 0;
@@ -21,15 +21,16 @@
 public:
   virtual ~LogStore() = default;
 
-  /// Reads what is stored; makes a new identity in an empty folder. A damaged record in the middle
-  /// of the log is an error that names file and offset; a torn tail is dropped.
+  /// Reads the stored state; creates a new identity in an empty folder. A damaged record in the
+  /// middle of the log is an error that names file and offset; an incomplete record at the end is
+  /// dropped.
   virtual Result<StoredReplica> load() = 0;
 
-  /// Makes snapshot, truncation, entries and hard state of `ready` durable before it returns.
-  /// @return an error when nothing can be relied on to be stored, for example on a full disk.
+  /// Makes the snapshot, truncation, entries and hard state of `ready` durable before it returns.
+  /// @return an error when the data cannot be relied on to be stored, for example on a full disk.
   virtual Result<std::monostate> write(const raft::RaftReady& ready) = 0;
 
-  /// Stores the snapshot of `log` and replaces the stored log by what `log` keeps.
+  /// Stores the snapshot of `log` and replaces the stored log by the entries that `log` keeps.
   virtual Result<std::monostate> compact(const raft::RaftLog& log,
                                          const v1::RaftHardState& hard_state) = 0;
 };
--- a/src/ports/random.h
+++ b/src/ports/random.h
@@ -6,12 +6,12 @@
 
 namespace workshatch {
 
-/// A source of uniformly distributed numbers. Implementations need not be safe for concurrent use.
+/// Source of uniformly distributed numbers. Implementations need not be safe for concurrent use.
 class Random {
 public:
   virtual ~Random() = default;
 
-  /// @return a number from the whole range of 64 bits.
+  /// @return a number from the full 64-bit range.
   virtual uint64_t next() = 0;
 
   /// @return a number in [0, bound); `bound` is at least 1.
--- a/src/ports/relay_dialect.h
+++ b/src/ports/relay_dialect.h
@@ -1,5 +1,6 @@
 /// @file
-/// Port: the names and small formats that callers, operators and runners use around a request.
+/// Port: header names, paths and small text formats of the interface between relays and callers,
+/// operators and runners.
 #pragma once
 
 #include <cstdint>
@@ -14,38 +15,38 @@
 
 namespace workshatch {
 
-/// Names of headers, lower or upper case alike.
+/// Names of HTTP headers, compared without regard to case.
 struct HeaderNames {
-  /// Identity of one attempt of a caller, echoed by the runner.
+  /// Identifies one attempt of a caller; echoed by the runner.
   std::string request_id;
-  /// The caller's key; never passed on.
+  /// The caller's key; never forwarded.
   std::string key;
-  /// Name of the key's tenant, set for the runner.
+  /// Name of the tenant that the key belongs to, set for the runner.
   std::string tenant;
-  /// Milliseconds that the sender will wait.
+  /// Time for which the sender will wait, in milliseconds.
   std::string deadline;
-  /// The runner that is meant; any other declines.
+  /// The runner that the request is addressed to; any other runner declines it.
   std::string target_runner;
-  /// Urgency at a model engine, 0 the most urgent.
+  /// Priority at a model engine; 0 is the highest.
   std::string priority;
-  /// Parts of the prompt.
+  /// Prefix blocks of the prompt.
   std::string prefix_blocks;
-  /// Marks the answer of a runner that did not run the request.
+  /// Marks the response of a runner that did not run the request.
   std::string not_run;
-  /// Marks the answer of a runner; a success counts only with it.
+  /// Marks a response as a runner's; a success counts only with this header.
   std::string signature;
-  /// Requests running, waiting, and slots of the answering runner.
+  /// Running requests, waiting requests and slots of the answering runner.
   std::string load;
-  /// Id of the last event that the caller has.
+  /// ID of the last event that the caller has received.
   std::string last_event;
-  /// Address of a runner from which the engine takes cached parts that it lacks itself.
+  /// Address of a runner from which the engine fetches cached prefix blocks that it lacks.
   std::string fetch_from;
-  /// Headers that runners obey as orders of the system; those that a caller sends are dropped, also
-  /// where this relay sets none of them itself.
+  /// Headers that runners obey as instructions of the system. They are removed from callers'
+  /// requests, including those that this relay never sets itself.
   std::vector<std::string> system_only;
 };
 
-/// Paths of the calls that the system answers itself.
+/// Paths of the requests that the system answers itself.
 struct CallPaths {
   std::string resolve;
   std::string ready;
@@ -53,73 +54,80 @@
   std::string get_configuration;
 };
 
-/// An operator's call that begins or ends the evacuation of a zone.
+/// Operator's request that begins or ends the evacuation of a zone.
 struct EvacuationCall {
   std::string zone;
-  /// False: the evacuation ends.
+  /// False: the request ends the evacuation.
   bool begin = false;
 };
 
-/// An operator's call that begins a rollout, or asks how far one is.
+/// Operator's request that begins a rollout or asks for its status.
 struct RolloutCall {
-  /// False: it asks.
+  /// False: the request asks for the status.
   bool begin = false;
-  /// Of the rollout that is asked for; empty when one begins.
+  /// Service whose rollout status is requested; empty when a rollout begins.
   std::string service;
 };
 
-/// What the operator wants of a rollout that begins.
+/// Parameters of a rollout that an operator begins.
 struct RolloutRequest {
   std::string service;
   std::string target_version;
-  /// Until its deadline, milliseconds; not zero.
+  /// Time until the rollout's deadline, in milliseconds; not zero.
   uint32_t duration_ms = 0;
 };
 
-/// How far a rollout is, as operators see it.
+/// Status of a rollout as reported to operators.
 enum class RolloutState { Running, Succeeded, RolledBack };
 
-/// A part of a prompt, in order; the last belongs to the request or its session.
+/// One prefix block of a prompt. Blocks are listed in order; the last one belongs to the request or
+/// its session alone.
 struct PrefixBlock {
   std::string id;
   uint64_t tokens = 0;
 };
 
-/// The head of a runner's answer.
+/// Status and headers of a runner's response.
 struct ResponseHead {
   unsigned status = 0;
-  /// @return the value of the header with this name; nothing: it has none.
+  /// @return the value of the header with this name, or nothing when it is absent.
   std::function<std::optional<std::string>(std::string_view name)> field;
 };
 
-/// Names and formats of one outside interface. Stateless; safe for concurrent use.
+/// Names and formats of one external interface. Stateless; safe for concurrent use.
 class RelayDialect {
 public:
   virtual ~RelayDialect() = default;
 
   virtual const HeaderNames& headers() const = 0;
   virtual const CallPaths& paths() const = 0;
-  /// @return the call that a path stands for; nothing: the path is of another call.
+  /// Parses the path of an operator's request.
+  /// @return the request, or nothing when the path is that of another request.
   virtual std::optional<EvacuationCall> parseEvacuationCall(std::string_view path) const = 0;
+  /// Parses the path of an operator's request.
+  /// @return the request, or nothing when the path is that of another request.
   virtual std::optional<RolloutCall> parseRolloutCall(std::string_view path) const = 0;
-  /// @return what the body of a call that begins a rollout says, or what is wrong with it.
+  /// Parses the body of a request that begins a rollout.
+  /// @return the parameters, or an error that says what is wrong with the body.
   virtual Result<RolloutRequest> parseRolloutRequest(std::string_view body) const = 0;
-  /// @return the body of the answer to how far a rollout is.
+  /// @return the body of the response to a request for a rollout's status.
   virtual std::string rolloutStatusBody(RolloutState state,
                                         const std::string& target_version) const = 0;
-  /// @return the parts, or nothing when the value can't be read.
+  /// Parses the header with the prefix blocks of a prompt.
+  /// @return the blocks; none when the value is malformed.
   virtual std::vector<PrefixBlock> parsePrefixBlocks(std::string_view value) const = 0;
-  /// @return what an answer says of its runner; of an answer of another runner than the one that
-  /// was meant, nothing.
+  /// Parses the headers of a response that describe the runner.
+  /// @return an empty notice if the response comes from a runner other than the addressed one.
   virtual relay::RunnerNotice parseRunnerNotice(const ResponseHead& head) const = 0;
-  /// Body of the answer that tells a caller where to go.
+  /// @return the body of the response that gives a caller the addresses to use.
+  /// @param ttl_s time for which the addresses may be used, in seconds
   virtual std::string addresses(const std::vector<std::string>& addresses,
                                 uint32_t ttl_s) const = 0;
   /// Name of the query parameter that holds the caller's zone.
   virtual std::string zoneParameter() const = 0;
   /// Name of the query parameter that holds the caller's region.
   virtual std::string regionParameter() const = 0;
-  /// Value of Retry-After.
+  /// @return the value of a Retry-After header.
   virtual std::string retryAfter(uint32_t milliseconds) const = 0;
 };
 
--- a/src/ports/replica_transport.h
+++ b/src/ports/replica_transport.h
@@ -13,7 +13,7 @@
 public:
   virtual ~ReplicaTransport() = default;
 
-  /// Messages may be lost, repeated and reordered.
+  /// Sends a message to the replica at `address`. Messages may be lost, duplicated and reordered.
   virtual void send(const std::string& address, v1::RaftMessage message) = 0;
 };
 
--- a/src/ports/runner_list_codec.h
+++ b/src/ports/runner_list_codec.h
@@ -1,5 +1,5 @@
 /// @file
-/// Port: the calls by which the list of runners is read, page by page.
+/// Port: request targets and response parser of the paged list of runners.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 namespace workshatch {
 
-/// Entries of the list that name no runner, by what is wrong with them. The list is shared with
-/// other writers, so that such entries are to be expected.
+/// Numbers of list entries that were rejected, by reason. Other systems write to the list too, so
+/// rejected entries are to be expected.
 struct RejectedEntries {
-  /// Bytes that can't be read, counted once a page.
+  /// Bytes that cannot be parsed, counted once per page.
   uint64_t unreadable = 0;
-  /// Not an object.
+  /// The entry is not an object.
   uint64_t other_type = 0;
-  /// A field is missing, or of another type, or out of range.
+  /// A field is missing, has the wrong type or is out of range.
   uint64_t field = 0;
-  /// In a state that this program does not know.
+  /// The state is unknown to this program.
   uint64_t state = 0;
-  /// Under the id of another entry.
+  /// The id is that of another entry.
   uint64_t duplicate = 0;
 
   bool operator==(const RejectedEntries& other) const = default;
@@ -39,19 +39,21 @@
 /// One page of the list.
 struct RunnerPage {
   v1::RunnerList runners;
-  /// Names the next page; empty: this is the last.
+  /// Identifies the next page; empty: this is the last one.
   std::string next_page;
   RejectedEntries rejected;
 };
 
-/// Formats the calls and reads the answers. Stateless; safe for concurrent use.
+/// Builds request targets and parses responses. Stateless; safe for concurrent use.
 class RunnerListCodec {
 public:
   virtual ~RunnerListCodec() = default;
 
-  /// @param page empty: the first page
+  /// @return the request target of a page.
+  /// @param page identifier of the page; empty: the first page
   virtual std::string target(const std::string& page) const = 0;
-  /// @return the page's runners, each checked; an error when the page as a whole can't be read.
+  /// @return the page with its valid runners, or an error when the page as a whole cannot be
+  /// parsed.
   virtual Result<RunnerPage> decode(std::string_view body) const = 0;
 };
 
--- a/src/ports/seeded_random.h
+++ b/src/ports/seeded_random.h
@@ -1,5 +1,5 @@
 /// @file
-/// Random numbers of the standard library's Mersenne Twister.
+/// Random numbers from the standard library's Mersenne Twister.
 #pragma once
 
 #include <random>
@@ -8,7 +8,7 @@
 
 namespace workshatch {
 
-/// Random numbers that a seed determines. Not safe for concurrent use.
+/// Random number generator whose sequence is determined by its seed. Not safe for concurrent use.
 class SeededRandom : public Random {
 public:
   explicit SeededRandom(uint64_t seed) : engine_(seed) {}
