--- a/src/core/address_text.h
+++ b/src/core/address_text.h
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses as text, "ip:port".
+/// Helpers for network addresses in the text form "ip:port".
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace workshatch {
 
-/// @return the same ip with another port.
+/// @return `address` with its port replaced by `port`.
 inline std::string withPort(const std::string& address, uint16_t port) {
   return address.substr(0, address.rfind(':') + 1) + std::to_string(port);
 }
--- a/src/core/check.h
+++ b/src/core/check.h
@@ -1,11 +1,12 @@
 /// @file
-/// Checks of invariants. A broken invariant stops the process; every other outcome is a value.
+/// Assertion macro for invariants. A broken invariant aborts the process; all other errors are
+/// returned as values (see core/result.h).
 #pragma once
 
 #include <cstdio>
 #include <cstdlib>
 
-/// Stops the process with a message when `condition` does not hold.
+/// Writes a message to standard error and aborts the process if `condition` is false.
 // NOLINTNEXTLINE(cppcoreguidelines-macro-usage): names file and line of the caller.
 #define WORKSHATCH_CHECK(condition, message)                                                       \
   do {                                                                                             \
--- a/src/core/compression/deflate.cc
+++ b/src/core/compression/deflate.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Fast: routes of a configuration are alike, so that more effort gains little.
+/// A fast level: the routes of a configuration are similar, so a higher level would save little.
 constexpr int kCompressionLevel = 2;
 
 const Bytef* bytesOf(std::string_view text) { return reinterpret_cast<const Bytef*>(text.data()); }
@@ -18,7 +18,7 @@
 std::string deflate(std::string_view bytes) {
   uLongf size = compressBound(bytes.size());
   std::string out(size, '\0');
-  // With a buffer of the bound's size this fails only for want of memory.
+  // With a buffer of `compressBound` bytes, compress2 fails only when memory is exhausted.
   if (compress2(bytesOf(out), &size, bytesOf(bytes), bytes.size(), kCompressionLevel) != Z_OK) {
     return {};
   }
@@ -32,7 +32,7 @@
   uLongf size = uncompressed_size;
   const int outcome = uncompress(bytesOf(out), &size, bytesOf(bytes), bytes.size());
   if (outcome != Z_OK || size != uncompressed_size) {
-    return Error{"not a whole compressed text of the size that was told"};
+    return Error{"data is not a complete zlib stream of the expected size"};
   }
   return out;
 }
--- a/src/core/compression/deflate.h
+++ b/src/core/compression/deflate.h
@@ -1,5 +1,5 @@
 /// @file
-/// Compression by zlib, for what is sent to many processes at once.
+/// zlib compression for data that is sent to many processes.
 #pragma once
 
 #include <cstddef>
@@ -16,14 +16,16 @@
 /// @return `bytes` in the zlib format (RFC 1950).
 std::string deflate(std::string_view bytes);
 
-/// @param uncompressed_size the exact size of the result, as the sender told it
-/// @return the bytes, or an error when the input is no whole zlib stream of that size.
+/// @param uncompressed_size exact size of the result, as stated by the sender
+/// @return the uncompressed data, or an error when `bytes` is not a complete zlib stream of that
+/// size.
 Result<std::string> inflate(std::string_view bytes, size_t uncompressed_size);
 
-/// @return the message, compressed.
+/// @return the serialized message, compressed.
 v1::Compressed compressMessage(const google::protobuf::MessageLite& message);
 
-/// @return whether `message` now holds what was packed.
+/// Decompresses and parses `packed` into `message`.
+/// @return whether this succeeded; `message` is unspecified otherwise.
 bool decompressMessage(const v1::Compressed& packed, google::protobuf::MessageLite& message);
 
 } // namespace workshatch::compression
--- a/src/core/limits/tenant_limiter.cc
+++ b/src/core/limits/tenant_limiter.cc
@@ -7,6 +7,7 @@
 namespace {
 
 constexpr double kMillisecondsPerSecond = 1000.0;
+/// Retry delay for tenants that have no rate limit.
 constexpr uint32_t kInFlightRetryMs = 500;
 
 } // namespace
--- a/src/core/limits/tenant_limiter.h
+++ b/src/core/limits/tenant_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Limits of tenants at one router: requests in progress and requests a second.
+/// Limits of each tenant at one router: requests in progress and requests per second.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,20 @@
 
 enum class LimitVerdict { Admitted, UnknownTenant, TooManyInFlight, TooManyPerSecond };
 
-/// Times are milliseconds of a monotonic clock. Not safe for concurrent use.
+/// Enforces the limits of tenants. Times are milliseconds of a monotonic clock. Not safe for
+/// concurrent use.
 class TenantLimiter {
 public:
-  /// Takes over the tenants of a configuration; what is in progress stays counted.
+  /// Applies the tenants of a configuration. Requests in progress stay counted.
   void configure(const v1::Configuration& configuration);
 
-  /// Counts a request in when its tenant's limits allow it.
+  /// Admits a request and counts it as in progress, if its tenant's limits allow this.
   LimitVerdict admit(const std::string& tenant, int64_t now_ms);
-  /// Counts out a request that `admit` admitted.
+  /// Ends a request that `admit` admitted.
   void release(const std::string& tenant);
 
-  /// Milliseconds until one more request of the tenant may be admitted by its rate.
+  /// @return milliseconds until the tenant's rate may allow another request; a fixed delay for
+  /// tenants without a rate limit.
   uint32_t retryAfterMs(const std::string& tenant) const;
 
 private:
@@ -32,7 +34,7 @@
     uint32_t max_in_flight = 0;
     uint32_t per_second = 0;
     uint32_t in_flight = 0;
-    /// Token bucket, filled at `per_second`, holding at most one second's worth.
+    /// Token bucket, refilled at `per_second`, with a capacity of one second's refill.
     double tokens = 0;
     int64_t refilled_ms = 0;
   };
--- a/src/core/result.h
+++ b/src/core/result.h
@@ -1,5 +1,5 @@
 /// @file
-/// Outcomes as values: a result holds either a value or an error.
+/// Error handling by return values: a Result holds either a value or an Error.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace workshatch {
 
-/// An error for people: what failed and why. Carries no secret.
+/// A message for people about what failed and why. It must not contain secrets.
 struct Error {
   std::string message;
 };
--- a/tests/unit/core/header_text_test.cc
+++ b/tests/unit/core/header_text_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The one check of text that goes into headers.
+/// Tests of the validation of header names and values.
 #include <boost/beast/http/fields.hpp>
 #include <doctest/doctest.h>
 
@@ -8,7 +8,7 @@
 
 namespace workshatch::test {
 
-TEST_CASE("A value that could end its header is no header value") {
+TEST_CASE("A value with control characters is no header value") {
   CHECK(isHeaderValue("plain text, 42"));
   CHECK(isHeaderValue(""));
   CHECK(isHeaderValue("tab\tand \xc3\xa4"));
@@ -18,14 +18,14 @@
   CHECK_FALSE(isHeaderValue("a\x7f"));
 }
 
-TEST_CASE("A header's name is a token") {
+TEST_CASE("A header name must be a token") {
   CHECK(isHeaderName("X-Request-Id"));
   CHECK_FALSE(isHeaderName(""));
   CHECK_FALSE(isHeaderName("X Y"));
   CHECK_FALSE(isHeaderName("X:"));
 }
 
-TEST_CASE("setHeader leaves out what could smuggle a request") {
+TEST_CASE("setHeader omits a value that could smuggle a request") {
   boost::beast::http::fields fields;
   CHECK(http::setHeader(fields, "X-Good", "value"));
   CHECK_FALSE(http::setHeader(fields, "X-Bad", "a\r\n\r\nGET / HTTP/1.1"));
