--- a/src/core/relay/configuration.cc
+++ b/src/core/relay/configuration.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::optional<Error> findRouteFault(const Route& route, const std::set<std::string>& services) {
+std::optional<Error> findRouteError(const Route& route, const std::set<std::string>& services) {
   const std::string where = "route \"" + route.name + "\": ";
   if (route.host.empty()) {
     return Error{where + "the host is empty"};
@@ -35,7 +35,7 @@
   return std::nullopt;
 }
 
-std::optional<Error> findTenantFault(const std::vector<Tenant>& tenants) {
+std::optional<Error> findTenantError(const std::vector<Tenant>& tenants) {
   std::set<std::string> names;
   std::set<std::string> keys;
   for (const Tenant& tenant : tenants) {
@@ -63,16 +63,16 @@
       return Error{"service \"" + service.name + "\" is declared twice"};
     }
   }
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> hosts_and_prefixes;
   for (const Route& route : configuration.routes) {
-    if (auto fault = findRouteFault(route, services)) {
-      return fault;
+    if (auto error = findRouteError(route, services)) {
+      return error;
     }
-    if (!places.emplace(route.host, route.path_prefix).second) {
+    if (!hosts_and_prefixes.emplace(route.host, route.path_prefix).second) {
       return Error{"route \"" + route.name + "\": another route has the same host and prefix"};
     }
   }
-  return findTenantFault(configuration.tenants);
+  return findTenantError(configuration.tenants);
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/configuration.h
+++ b/src/core/relay/configuration.h
@@ -12,17 +12,17 @@
 
 namespace workshatch::relay {
 
-/// How often a request of a route may run.
+/// How often a request of a route may be executed.
 enum class RouteKind {
   /// May run more than once.
   Repeatable,
   /// Runs at most once for each attempt of a caller.
   RunOnce,
-  /// Answered by a stream of events; runs at most once, unless it may be resumed.
+  /// Answered with an event stream; runs at most once unless the route is resumable.
   Streaming,
 };
 
-/// A service that a route's requests go to, with its share of them.
+/// A service that receives a share of a route's requests.
 struct RouteTarget {
   std::string service;
   uint32_t weight = 1;
@@ -35,40 +35,40 @@
   /// Begins and ends with a slash.
   std::string path_prefix;
   RouteKind kind = RouteKind::RunOnce;
-  /// Longest time that a request is held.
+  /// Time limit of a request.
   uint32_t timeout_ms = 0;
-  /// Time within which an answer is worth its full credit.
+  /// Target latency: an answer within this time gets its full credit.
   uint32_t objective_ms = 0;
-  /// Rank; 0 is the most urgent.
+  /// Priority; 0 is the most urgent.
   uint32_t priority = 0;
-  /// Most runners that one attempt of a caller may run on.
+  /// Maximum number of runners that one attempt of a caller may be sent to.
   uint32_t max_attempts = 1;
-  /// Needs no key.
+  /// Whether requests are accepted without a key.
   bool anonymous = false;
-  /// A broken stream may go on at another runner.
+  /// Whether a stream that breaks off may be resumed at another runner.
   bool resumable = false;
   std::vector<RouteTarget> targets;
-  /// Regions in which its requests may run; empty: any.
+  /// Regions in which the route's requests may run; empty: any region.
   std::vector<std::string> home_regions;
 };
 
 struct Service {
   std::string name;
-  /// Runners are model engines with a prompt cache.
+  /// Whether the runners are model engines with a prompt cache.
   bool model_engine = false;
-  /// Tokens that one engine keeps; zero: not told.
+  /// Capacity of one engine's KV cache in tokens; 0 if not configured.
   uint64_t kv_capacity_tokens = 0;
-  /// Bytes that a token takes in an engine's memory, and bandwidth between engines in Mbit/s; zero:
-  /// not told.
+  /// Size of a token in the KV cache in bytes, and bandwidth between engines in Mbit/s; 0 if not
+  /// configured.
   double kv_token_bytes = 0;
   double engine_link_mbps = 0;
-  /// Seconds for which a runner is cold after its start.
+  /// Time for which a runner is cold after its start, in seconds.
   double cold_s = 0;
-  /// Requests a second that a cold runner bears; zero: no fewer than a warm one.
+  /// Requests per second that a cold runner can take; 0 if it takes as many as a warm one.
   double cold_requests_per_s = 0;
 };
 
-/// What a caller may send and how long it may take.
+/// Limits on what a caller may send and on how long it may take.
 struct CallerLimits {
   uint32_t header_bytes = 16U * 1024;
   uint32_t body_bytes = 4U * 1024 * 1024;
@@ -79,9 +79,10 @@
 struct Tenant {
   std::string name;
   std::vector<std::string> keys;
-  /// Rank; 0 is the most urgent. Goes before a route's.
+  /// Priority; 0 is the most urgent. Takes precedence over the route's priority.
   uint32_t priority = 0;
-  /// Regions in which its requests may run; empty: any. Binds beside a route's.
+  /// Regions in which the tenant's requests may run; empty: any region. Applies in addition to the
+  /// route's regions.
   std::vector<std::string> home_regions;
 };
 
@@ -90,11 +91,12 @@
   std::vector<Route> routes;
   std::vector<Service> services;
   CallerLimits limits;
-  /// Empty: no request needs a key.
+  /// If empty, no request needs a key.
   std::vector<Tenant> tenants;
 };
 
-/// @return what makes the configuration invalid, naming the entry at fault, or nothing.
+/// @return the first error that makes the configuration invalid, with the name of the entry at
+/// fault, or nothing if it is valid.
 std::optional<Error> findConfigurationError(const Configuration& configuration);
 
 } // namespace workshatch::relay
--- a/src/core/relay/event_splitter.cc
+++ b/src/core/relay/event_splitter.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Length of the line end at `at`: LF, CR LF, or zero.
+/// @return the length of the line terminator at `at` (LF or CR LF); 0 if there is none.
 size_t lineEndAt(std::string_view text, size_t at) {
   if (at < text.size() && text[at] == '\n') {
     return 1;
--- a/src/core/relay/event_splitter.h
+++ b/src/core/relay/event_splitter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Splits an opaque event stream (text/event-stream) into whole events.
+/// Splits an opaque event stream (text/event-stream) into complete events.
 #pragma once
 
 #include <optional>
@@ -8,28 +8,28 @@
 
 namespace workshatch::relay {
 
-/// One event as its runner wrote it, blank line included.
+/// One event, byte for byte as the runner sent it, with the blank line that ends it.
 struct CompleteEvent {
   std::string bytes;
-  /// Value of the event's `id` field; empty: it has none.
+  /// Value of the event's `id` field; empty if it has none.
   std::string id;
 };
 
-/// Takes the bytes of a stream in any parts and gives whole events, byte for byte.
+/// Accepts the bytes of a stream in pieces of any size and returns complete events, byte for byte.
 /// Not safe for concurrent use.
 class EventSplitter {
 public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
 
-  /// The next whole event, if there is one.
+  /// @return the next complete event, or nothing if more bytes are needed.
   std::optional<CompleteEvent> next();
 
-  /// @return whether bytes of an unfinished event are left.
+  /// @return whether bytes of an incomplete event are buffered.
   bool hasPartialEvent() const { return !buffer_.empty(); }
 
 private:
   std::string buffer_;
-  /// Where the search for the event's end goes on.
+  /// Position at which the search for the end of the event continues.
   size_t searched_ = 0;
 };
 
--- a/src/core/relay/group_state.cc
+++ b/src/core/relay/group_state.cc
@@ -14,11 +14,11 @@
   }
   switch (parsed.command_case()) {
   case v1::GroupCommand::kStore:
-    return store(*parsed.mutable_store());
+    return storeConfiguration(*parsed.mutable_store());
   case v1::GroupCommand::kEvacuation:
-    return order(parsed.evacuation(), index);
+    return applyEvacuation(parsed.evacuation(), index);
   case v1::GroupCommand::kQuarantine:
-    return quarantine(*parsed.mutable_quarantine(), index);
+    return applyQuarantine(*parsed.mutable_quarantine(), index);
   case v1::GroupCommand::kRollout:
     return beginRollout(*parsed.mutable_rollout(), index);
   case v1::GroupCommand::kRolloutVerdict:
@@ -29,7 +29,7 @@
   return Change::None;
 }
 
-GroupState::Change GroupState::store(v1::StoredConfiguration& configuration) {
+GroupState::Change GroupState::storeConfiguration(v1::StoredConfiguration& configuration) {
   if (configuration.version() <= state_.configuration().version()) {
     return Change::None;
   }
@@ -37,19 +37,19 @@
   return Change::Configuration;
 }
 
-GroupState::Change GroupState::order(const v1::EvacuationOrder& order, uint64_t index) {
+GroupState::Change GroupState::applyEvacuation(const v1::EvacuationOrder& order, uint64_t index) {
   auto* zones = state_.mutable_evacuations()->mutable_zones();
-  const auto place = std::lower_bound(
+  const auto found = std::lower_bound(
       zones->begin(), zones->end(), order.zone(),
-      [](const v1::EvacuatedZone& held, const std::string& zone) { return held.zone() < zone; });
-  const bool evacuated = place != zones->end() && place->zone() == order.zone();
+      [](const v1::EvacuatedZone& entry, const std::string& zone) { return entry.zone() < zone; });
+  const bool evacuated = found != zones->end() && found->zone() == order.zone();
   if (evacuated == order.begin()) {
     return Change::None;
   }
   if (evacuated) {
-    zones->erase(place);
+    zones->erase(found);
   } else {
-    const auto position = place - zones->begin();
+    const auto position = found - zones->begin();
     v1::EvacuatedZone* added = zones->Add();
     added->set_zone(order.zone());
     added->set_since_ms(order.ordered_ms());
@@ -59,19 +59,19 @@
   return Change::Evacuations;
 }
 
-GroupState::Change GroupState::quarantine(v1::QuarantineOrder& order, uint64_t index) {
+GroupState::Change GroupState::applyQuarantine(v1::QuarantineOrder& order, uint64_t index) {
   auto* requests = state_.mutable_quarantine()->mutable_requests();
   const RequestIdentity request = identityOf(order.request().request());
-  const auto place =
-      std::find_if(requests->begin(), requests->end(), [&](const v1::QuarantinedRequest& held) {
-        return identityOf(held.request()) == request;
+  const auto found =
+      std::find_if(requests->begin(), requests->end(), [&](const v1::QuarantinedRequest& entry) {
+        return identityOf(entry.request()) == request;
       });
-  const bool held = place != requests->end();
-  if (held == order.begin()) {
+  const bool quarantined = found != requests->end();
+  if (quarantined == order.begin()) {
     return Change::None;
   }
-  if (held) {
-    requests->erase(place);
+  if (quarantined) {
+    requests->erase(found);
   } else {
     if (static_cast<size_t>(requests->size()) >= kMaxQuarantined) {
       requests->erase(requests->begin());
@@ -102,30 +102,31 @@
 }
 
 const v1::Rollout* findRollout(const v1::RolloutList& rollouts, const std::string& service) {
-  const auto& held = rollouts.rollouts();
-  const auto found = std::find_if(held.begin(), held.end(), [&](const v1::Rollout& rollout) {
+  const auto& entries = rollouts.rollouts();
+  const auto entry = std::find_if(entries.begin(), entries.end(), [&](const v1::Rollout& rollout) {
     return rollout.service() == service;
   });
-  return found == held.end() ? nullptr : &*found;
+  return entry == entries.end() ? nullptr : &*entry;
 }
 
-/// While one of the service is under way, another changes nothing: two orders may be on their way
-/// to a majority at the same time.
+/// Ignores the command while another rollout of the service is in progress: two orders may be on
+/// their way to a majority at the same time.
 GroupState::Change GroupState::beginRollout(v1::Rollout& rollout, uint64_t index) {
   auto* rollouts = state_.mutable_rollouts()->mutable_rollouts();
-  auto place = std::lower_bound(
-      rollouts->begin(), rollouts->end(), rollout.service(),
-      [](const v1::Rollout& held, const std::string& service) { return held.service() < service; });
-  const bool held = place != rollouts->end() && place->service() == rollout.service();
-  if (held && isInProgress(*place)) {
+  auto found = std::lower_bound(rollouts->begin(), rollouts->end(), rollout.service(),
+                                [](const v1::Rollout& entry, const std::string& service) {
+                                  return entry.service() < service;
+                                });
+  const bool exists = found != rollouts->end() && found->service() == rollout.service();
+  if (exists && isInProgress(*found)) {
     return Change::None;
   }
   rollout.set_phase(v1::ROLLOUT_CANARY);
   rollout.set_id(index);
-  if (held) {
-    *place = std::move(rollout);
+  if (exists) {
+    *found = std::move(rollout);
   } else {
-    const auto position = place - rollouts->begin();
+    const auto position = found - rollouts->begin();
     *rollouts->Add() = std::move(rollout);
     std::rotate(rollouts->begin() + position, rollouts->end() - 1, rollouts->end());
   }
@@ -135,13 +136,13 @@
 
 GroupState::Change GroupState::judgeRollout(const v1::RolloutVerdict& verdict, uint64_t index) {
   for (v1::Rollout& rollout : *state_.mutable_rollouts()->mutable_rollouts()) {
-    const bool meant = rollout.service() == verdict.service() && rollout.id() == verdict.id();
+    const bool matches = rollout.service() == verdict.service() && rollout.id() == verdict.id();
     const bool promotes =
         rollout.phase() == v1::ROLLOUT_CANARY && verdict.phase() == v1::ROLLOUT_PROMOTING;
     const bool succeeds =
         rollout.phase() == v1::ROLLOUT_PROMOTING && verdict.phase() == v1::ROLLOUT_SUCCEEDED;
     const bool rolls_back = isInProgress(rollout) && verdict.phase() == v1::ROLLOUT_ROLLED_BACK;
-    if (meant && (promotes || succeeds || rolls_back)) {
+    if (matches && (promotes || succeeds || rolls_back)) {
       rollout.set_phase(verdict.phase());
       state_.mutable_rollouts()->set_version(index);
       return Change::Rollouts;
@@ -166,7 +167,8 @@
   const bool empty = !snapshot.has_configuration() && !snapshot.has_evacuations() &&
                      !snapshot.has_quarantine() && !snapshot.has_rollouts();
   if (empty) {
-    // A snapshot of an earlier program, or of an empty state: both are a StoredConfiguration.
+    // Either a snapshot of an earlier program version, which consists of a StoredConfiguration
+    // only, or a snapshot of an empty state, which parses as an empty StoredConfiguration.
     if (!snapshot.mutable_configuration()->ParseFromString(bytes)) {
       return false;
     }
--- a/src/core/relay/home_regions.h
+++ b/src/core/relay/home_regions.h
@@ -1,5 +1,5 @@
 /// @file
-/// Regions: which one a zone lies in, and in which ones a request may run.
+/// The region of each zone, and the regions in which a request may run.
 #pragma once
 
 #include <algorithm>
@@ -10,17 +10,17 @@
 
 namespace workshatch::relay {
 
-/// The region of each zone, as the settings tell it. Immutable.
+/// The region of each zone, as given in the settings. Immutable.
 class ZoneRegions {
 public:
-  /// Knows no zone: requests may run anywhere then.
+  /// Contains no zone; requests may then run anywhere.
   ZoneRegions() = default;
   /// @param regions names of regions by zone
   explicit ZoneRegions(std::map<std::string, std::string> regions) : regions_(std::move(regions)) {}
 
   bool empty() const { return regions_.empty(); }
   bool contains(const std::string& zone) const { return regions_.contains(zone); }
-  /// @return the region's name; empty: the zone is not known.
+  /// @return the name of the region; empty if the zone is unknown.
   std::string regionOf(const std::string& zone) const {
     const auto found = regions_.find(zone);
     return found == regions_.end() ? std::string() : found->second;
@@ -30,14 +30,15 @@
   std::map<std::string, std::string> regions_;
 };
 
-/// The regions that a request's route and tenant may run in; where both name some, both bind. The
-/// lists belong to the configuration that the request goes by.
+/// The regions to which a request's route and tenant restrict it; if both name regions, both
+/// restrictions apply. The lists belong to the configuration under which the request is handled.
 struct HomeRegions {
   /// Null or empty: any region.
   const std::vector<std::string>* of_route = nullptr;
   const std::vector<std::string>* of_tenant = nullptr;
 
-  /// @param region empty: not known, so that it is none of those named
+  /// @param region empty if unknown; an unknown region is not allowed if the route or the tenant
+  /// names regions
   bool allow(const std::string& region) const {
     return allowedBy(of_route, region) && allowedBy(of_tenant, region);
   }
--- a/src/core/relay/leader_runner_list.cc
+++ b/src/core/relay/leader_runner_list.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// A list read without a leader counts for this long.
+/// Maximum age of a list that was read without a leader and that a new leader still uses.
 constexpr int64_t kFreshMs = 1000;
 
 void sortById(v1::RunnerList& list) {
   std::sort(list.mutable_runners()->begin(), list.mutable_runners()->end(), comesBefore);
 }
 
-/// @return whether two lists, read one after the other, say the same of all runners.
+/// @return whether a later list is the same as an earlier one, apart from cold times that became
+/// shorter.
 bool sameRunners(const v1::RunnerList& earlier, const v1::RunnerList& later) {
   return std::equal(earlier.runners().begin(), earlier.runners().end(), later.runners().begin(),
                     later.runners().end(), [](const auto& old, const auto& now) {
@@ -45,12 +46,12 @@
 
 ListChange LeaderRunnerList::updateAsLeader(v1::RunnerList list, LeaderVersions& versions) {
   sortById(list);
-  const bool known = list_.version() != 0;
-  if (known && sameRunners(list_, list)) {
-    const bool same = sameColdTimes(list_, list);
+  const bool has_list = list_.version() != 0;
+  if (has_list && sameRunners(list_, list)) {
+    const bool same_cold_times = sameColdTimes(list_, list);
     list.set_version(list_.version());
     list_ = std::move(list);
-    return same ? ListChange::None : ListChange::ColdTimesReduced;
+    return same_cold_times ? ListChange::None : ListChange::ColdTimesReduced;
   }
   list.set_version(versions.next());
   list_ = std::move(list);
--- a/src/core/relay/list_period.h
+++ b/src/core/relay/list_period.h
@@ -1,5 +1,5 @@
 /// @file
-/// How often the platform's list of runners may be read.
+/// How often the platform's list of runners is read.
 #pragma once
 
 #include <algorithm>
@@ -8,43 +8,43 @@
 
 namespace workshatch::relay {
 
-/// What the reading of the list depends on.
+/// Parameters that determine how often the list is read.
 struct ListPollOptions {
-  /// Calls that one reading takes.
+  /// Number of calls that one reading of the list takes.
   size_t pages = 1;
-  /// Processes that read at the same time.
+  /// Number of processes that read the list at the same time.
   size_t readers = 1;
-  /// Calls that the platform takes from all processes together in a second.
+  /// Calls per second that the platform accepts from all processes together.
   double calls_per_s = 1;
-  /// The period when the rate allows it, in milliseconds.
+  /// The period to use when the call rate allows it, in milliseconds.
   int64_t desired_period_ms = 0;
 };
 
-/// How often the leader wants the list: a runner that is leaving has to be known everywhere within
-/// `leaving_runner_ms`. A quarter of it leaves room for a reading that fails and for the way to the
-/// relays; no other bound needs the list sooner.
+/// @return the leader's desired period in milliseconds. All processes must know of a leaving runner
+/// within `leaving_runner_ms`. A quarter of it leaves room for a failed reading and for the
+/// transfer to the relays; no other bound requires a shorter period.
 inline int64_t desiredListPeriodMs(int64_t leaving_runner_ms) {
-  constexpr int64_t kReadingsInBound = 4;
-  return leaving_runner_ms / kReadingsInBound;
+  constexpr int64_t kReadingsPerBound = 4;
+  return leaving_runner_ms / kReadingsPerBound;
 }
 
-/// @return whether a replica of the group reads the list. The leader does. Without one all replicas
-/// do, so that the next leader has a list, but not before an election may take: ten replicas that
-/// each read thousands of runners at once are refused for the platform's rate, and the new leader
-/// reads first thing anyway.
+/// @return whether a replica of the group reads the list. The leader does. Without a leader all
+/// replicas do, so that the next leader has a list, but only after the time that an election may
+/// take: ten replicas that read thousands of runners each at once exceed the platform's call rate
+/// and are refused, and a new leader reads the list first thing anyway.
 inline bool shouldReadList(bool leads, int64_t leaderless_ms) {
   constexpr int64_t kElectionMs = 1000;
   return leads || leaderless_ms >= kElectionMs;
 }
 
-/// @return milliseconds from one reading to the next, so that all readers together use at most half
-/// of the rate; the rest is for restarts and changes of the leader.
-inline int64_t listPeriodMs(const ListPollOptions& reading) {
-  constexpr double kPartOfRate = 0.5;
+/// @return the period in milliseconds at which all readers together use at most half of the call
+/// rate; the rest is for restarts and changes of the leader.
+inline int64_t listPeriodMs(const ListPollOptions& options) {
+  constexpr double kRateFraction = 0.5;
   constexpr double kMsPerSecond = 1000;
-  const auto calls = static_cast<double>(reading.pages * reading.readers);
-  const double least_ms = kMsPerSecond * calls / (kPartOfRate * reading.calls_per_s);
-  return std::max(reading.desired_period_ms, static_cast<int64_t>(least_ms));
+  const auto calls = static_cast<double>(options.pages * options.readers);
+  const double min_ms = kMsPerSecond * calls / (kRateFraction * options.calls_per_s);
+  return std::max(options.desired_period_ms, static_cast<int64_t>(min_ms));
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/read_ahead_budget.cc
+++ b/src/core/relay/read_ahead_budget.cc
@@ -5,47 +5,47 @@
 
 namespace workshatch::relay {
 
-ReadAheadBudget::Reader ReadAheadBudget::open(CancelCallback cut) {
+ReadAheadBudget::Reader ReadAheadBudget::open(CancelCallback cancel) {
   const Reader reader = next_reader_++;
-  readers_.emplace(reader, Held{.cut = std::move(cut)});
+  readers_.emplace(reader, ReaderState{.cancel = std::move(cancel)});
   return reader;
 }
 
 void ReadAheadBudget::close(Reader reader) {
   const auto found = readers_.find(reader);
   if (found != readers_.end()) {
-    held_bytes_ -= found->second.held_bytes;
+    buffered_bytes_ -= found->second.buffered_bytes;
     readers_.erase(found);
   }
 }
 
-void ReadAheadBudget::update(Reader reader, size_t held_bytes, uint64_t read_bytes) {
+void ReadAheadBudget::update(Reader reader, size_t buffered_bytes, uint64_t read_bytes) {
   const auto found = readers_.find(reader);
   if (found == readers_.end()) {
     return;
   }
-  Held& held = found->second;
-  held_bytes_ += held_bytes;
-  held_bytes_ -= held.held_bytes;
-  held.held_bytes = held_bytes;
-  held.read_bytes = read_bytes;
-  while (held_bytes_ > limits_.process_bytes) {
-    cutLargest();
+  ReaderState& state = found->second;
+  buffered_bytes_ += buffered_bytes;
+  buffered_bytes_ -= state.buffered_bytes;
+  state.buffered_bytes = buffered_bytes;
+  state.read_bytes = read_bytes;
+  while (buffered_bytes_ > limits_.process_bytes) {
+    cancelLargest();
   }
 }
 
-void ReadAheadBudget::cutLargest() {
+void ReadAheadBudget::cancelLargest() {
   const auto largest =
       std::max_element(readers_.begin(), readers_.end(), [](const auto& left, const auto& right) {
-        const Held& one = left.second;
-        const Held& other = right.second;
-        return std::pair(one.held_bytes, other.read_bytes) <
-               std::pair(other.held_bytes, one.read_bytes);
+        const ReaderState& first = left.second;
+        const ReaderState& second = right.second;
+        return std::pair(first.buffered_bytes, second.read_bytes) <
+               std::pair(second.buffered_bytes, first.read_bytes);
       });
-  const CancelCallback cut = std::move(largest->second.cut);
+  const CancelCallback cancel = std::move(largest->second.cancel);
   close(largest->first);
-  ++cuts_;
-  cut();
+  ++cancelled_readers_;
+  cancel();
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/relay_addresses.cc
+++ b/src/core/relay/relay_addresses.cc
@@ -7,43 +7,43 @@
 
 namespace {
 
-/// Callers stay in their zone, or in their region, while so many relays there are ready.
-constexpr size_t kEnoughRelays = 2;
-/// Callers take no more of an answer.
-constexpr size_t kMostAddresses = 64;
+/// Callers stay in their zone, or in their region, while at least this many relays are ready there.
+constexpr size_t kMinLocalRelays = 2;
+/// Maximum number of addresses that callers use from an answer.
+constexpr size_t kMaxAddresses = 64;
 
 } // namespace
 
 std::vector<std::string> selectAddresses(const v1::RelayList& relays, const ZoneRegions& zones,
-                                         const AddressQuery& question) {
+                                         const AddressQuery& query) {
   std::vector<std::string> in_zone;
   std::vector<std::string> in_region;
   std::vector<std::string> all;
-  const std::string of_zone = zones.regionOf(question.zone);
-  const std::string& region = of_zone.empty() ? question.region : of_zone;
+  const std::string zone_region = zones.regionOf(query.zone);
+  const std::string& region = zone_region.empty() ? query.region : zone_region;
   for (const v1::RelayEntry& relay : relays.relays()) {
-    if (relay.address() == question.own_address && !question.confirmed_recently) {
+    if (relay.address() == query.own_address && !query.confirmed_recently) {
       continue;
     }
     all.push_back(relay.address());
-    if (relay.zone() == question.zone) {
+    if (relay.zone() == query.zone) {
       in_zone.push_back(relay.address());
     }
     if (!region.empty() && zones.regionOf(relay.zone()) == region) {
       in_region.push_back(relay.address());
     }
   }
-  std::vector<std::string> chosen = in_zone.size() >= kEnoughRelays     ? in_zone
-                                    : in_region.size() >= kEnoughRelays ? in_region
-                                                                        : all;
-  if (chosen.empty()) {
-    chosen.push_back(question.own_address);
+  std::vector<std::string> selected = in_zone.size() >= kMinLocalRelays     ? in_zone
+                                      : in_region.size() >= kMinLocalRelays ? in_region
+                                                                            : all;
+  if (selected.empty()) {
+    selected.push_back(query.own_address);
   }
-  if (chosen.size() > kMostAddresses) {
-    std::shuffle(chosen.begin(), chosen.end(), std::minstd_rand(question.draw));
-    chosen.resize(kMostAddresses);
+  if (selected.size() > kMaxAddresses) {
+    std::shuffle(selected.begin(), selected.end(), std::minstd_rand(query.draw));
+    selected.resize(kMaxAddresses);
   }
-  return chosen;
+  return selected;
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/relay_addresses.h
+++ b/src/core/relay/relay_addresses.h
@@ -1,5 +1,5 @@
 /// @file
-/// The addresses that callers are told when they ask where to go.
+/// Selects the relays whose addresses a caller receives, and how long the caller may cache them.
 #pragma once
 
 #include <cstdint>
@@ -12,33 +12,35 @@
 namespace workshatch::relay {
 
 struct AddressQuery {
-  /// The caller's zone and region; empty: not told.
+  /// The caller's zone and region; empty if not given.
   std::string zone;
   std::string region;
-  /// The relay that answers, and whether the group confirmed it lately. Out of touch it leaves
-  /// itself out: it would soon refuse whoever came.
+  /// Address of the relay that answers, and whether the group confirmed its lease recently. If not,
+  /// the relay leaves itself out of the answer, because it would soon refuse callers.
   std::string own_address;
   bool confirmed_recently = true;
-  /// Draws which relays are told where there are too many.
+  /// Random number that selects the relays to return if there are too many.
   uint64_t draw = 0;
 };
 
-/// @return relays of the caller's zone; of its region where too few are in the zone; of all regions
-/// where too few are in that; never empty. Requests that may run in their caller's region only then
-/// stay in it.
+/// @return the relays of the caller's zone; if these are too few, those of its region; if these are
+/// too few as well, those of all regions. Never empty. The region comes before all others so that
+/// requests that may run only in their caller's region stay in it.
 std::vector<std::string> selectAddresses(const v1::RelayList& relays, const ZoneRegions& zones,
-                                         const AddressQuery& question);
+                                         const AddressQuery& query);
 
-/// How long callers keep an answer, in seconds.
+/// How long callers may cache an answer, in seconds.
 struct AddressLifetimes {
-  /// Short, so that callers soon learn of relays that came or went.
+  /// Short, so that callers soon get the addresses of new relays and drop those of relays that
+  /// left.
   uint32_t ordinary_s = 1;
-  /// While relays are silent. Callers also ask those, from a list that is not ours, and wait for a
-  /// time limit each time; to ask seldom costs them less than to keep an older answer does.
+  /// Used while relays are silent. Callers get their list of relays to query from elsewhere, so
+  /// they also query silent ones and wait for a timeout each time; this costs them more than an
+  /// older answer, so they should query less often.
   uint32_t degraded_s = 5;
 };
 
-/// @return how long callers may keep the addresses of this list.
+/// @return how long callers may cache the addresses of this list, in seconds.
 inline uint32_t addressesLifetimeS(const v1::RelayList& relays, const AddressLifetimes& lifetimes) {
   return relays.silent() == 0 ? lifetimes.ordinary_s : lifetimes.degraded_s;
 }
--- a/src/core/relay/relay_list_history.cc
+++ b/src/core/relay/relay_list_history.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Relays that miss more changes than these get the whole list.
-constexpr size_t kMostLists = 16;
-/// Entries from which an update is compressed.
-constexpr int kLongUpdate = 8;
+/// Number of lists that are kept. A relay whose list is older receives the whole list.
+constexpr size_t kMaxLists = 16;
+/// Minimum number of added entries at which an update is compressed.
+constexpr int kMinCompressedEntries = 8;
 
 bool comesBefore(const v1::RelayEntry& left, const v1::RelayEntry& right) {
   return left.address() < right.address();
@@ -28,33 +28,33 @@
                     right.relays().end(), sameEntry);
 }
 
-/// Both lists are sorted by address.
-v1::RelayListUpdate differenceOf(const v1::RelayList& base, const v1::RelayList& target) {
+/// @param base, target sorted by address
+v1::RelayListUpdate makeUpdate(const v1::RelayList& base, const v1::RelayList& target) {
   v1::RelayListUpdate update;
   int next_position = 0;
   int old = 0;
-  int now = 0;
-  while (old < base.relays_size() || now < target.relays_size()) {
-    const bool both = old < base.relays_size() && now < target.relays_size();
-    if (both && sameEntry(base.relays(old), target.relays(now))) {
+  int current = 0;
+  while (old < base.relays_size() || current < target.relays_size()) {
+    const bool both = old < base.relays_size() && current < target.relays_size();
+    if (both && sameEntry(base.relays(old), target.relays(current))) {
       ++old;
-      ++now;
+      ++current;
       continue;
     }
-    const bool goes =
-        now == target.relays_size() || (both && !comesBefore(target.relays(now), base.relays(old)));
-    if (goes) {
+    const bool is_removed = current == target.relays_size() ||
+                            (both && !comesBefore(target.relays(current), base.relays(old)));
+    if (is_removed) {
       update.add_removed(static_cast<uint32_t>(old - next_position));
       next_position = ++old;
     } else {
-      *update.add_added() = target.relays(now++);
+      *update.add_added() = target.relays(current++);
     }
   }
   return update;
 }
 
-void compressLong(v1::RelayListUpdate& update) {
-  if (update.added_size() < kLongUpdate) {
+void compressIfLong(v1::RelayListUpdate& update) {
+  if (update.added_size() < kMinCompressedEntries) {
     return;
   }
   v1::RelayList added;
@@ -72,7 +72,7 @@
   list.set_version(version);
   lists_.push_back(std::move(list));
   updates_.clear();
-  if (lists_.size() > kMostLists) {
+  if (lists_.size() > kMaxLists) {
     lists_.pop_front();
   }
   return true;
@@ -90,11 +90,11 @@
   const uint64_t known_base = base == lists_.end() ? 0 : base_version;
   v1::RelayListUpdate& update = updates_[known_base];
   if (update.version() == 0 && !lists_.empty()) {
-    update = differenceOf(base == lists_.end() ? v1::RelayList() : *base, lists_.back());
+    update = makeUpdate(base == lists_.end() ? v1::RelayList() : *base, lists_.back());
     update.set_version(lists_.back().version());
     update.set_base_version(known_base);
     update.set_silent(lists_.back().silent());
-    compressLong(update);
+    compressIfLong(update);
   }
   return update;
 }
@@ -103,11 +103,11 @@
   if (update.base_version() == 0) {
     base.Clear();
   } else if (base.version() != update.base_version()) {
-    return Error{"the update is for another list of relays"};
+    return Error{"the update is based on another version of the relay list"};
   }
   v1::RelayList added;
   if (update.has_more_added() && !compression::decompressMessage(update.more_added(), added)) {
-    return Error{"the update of the list of relays is damaged"};
+    return Error{"the compressed entries of the relay list update are corrupt"};
   }
   added.mutable_relays()->MergeFrom(update.added());
   v1::RelayList list;
@@ -115,7 +115,7 @@
   for (const uint32_t distance : update.removed()) {
     const int64_t removed = int64_t{position} + distance;
     if (removed >= base.relays_size()) {
-      return Error{"the update takes out what is not in the list of relays"};
+      return Error{"the update removes an entry beyond the end of the relay list"};
     }
     while (position < removed) {
       *list.add_relays() = std::move(*base.mutable_relays(position++));
--- a/src/core/relay/relay_list_history.h
+++ b/src/core/relay/relay_list_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// Differences between the lists of relays that one leader told.
+/// Updates between the lists of relays that one leader sent.
 #pragma once
 
 #include <cstdint>
@@ -11,39 +11,41 @@
 
 namespace workshatch::relay {
 
-/// Remembers the newest lists of relays and makes updates between them.
+/// Keeps the newest lists of relays and computes the updates between them.
 ///
-/// Load pattern: a part of the relays loses power or comes back, and all others have to know. Whole
-/// lists to all of them grow with the square of the fleet; what came and went does not.
+/// Load pattern: a part of the relays loses power or comes back, and all other relays must know of
+/// it. The size of whole lists for all relays grows with the square of the fleet's size; the size
+/// of updates does not.
 ///
 /// Not safe for concurrent use.
 class RelayListHistory {
 public:
-  /// Takes the present list; gives it a version when it differs from the one before.
-  /// @param version the next one
+  /// Sets the current list, which gets a version if it differs from the previous one.
+  /// @param version the version that the list gets
   /// @return whether it differs.
   bool set(v1::RelayList list, uint64_t version);
-  /// Forgets everything: another term begins.
+  /// Drops all lists, because another term begins.
   void clear();
 
-  /// Zero: there is no list to tell.
+  /// Version 0 means that there is no list to send.
   uint64_t version() const { return lists_.empty() ? 0 : lists_.back().version(); }
   const v1::RelayList& newest() const { return lists_.back(); }
 
-  /// @param base_version what the receiver holds
-  /// @return the update to the newest list, whole when the base is not remembered; valid until the
-  /// next `set` or `clear`.
+  /// @param base_version version of the list that the receiver has
+  /// @return the update to the newest list, which contains the whole list if the base is not kept
+  /// any more; valid until the next `set` or `clear`.
   const v1::RelayListUpdate& updateFrom(uint64_t base_version);
 
 private:
-  /// By rising version; sorted by address.
+  /// In ascending order of versions; each sorted by address.
   std::deque<v1::RelayList> lists_;
-  /// Updates to the newest list, by base version; zero: whole.
+  /// Updates to the newest list, by base version; the update for base version 0 contains the whole
+  /// list.
   std::map<uint64_t, v1::RelayListUpdate> updates_;
 };
 
-/// @param base the list that the receiver holds
-/// @return the list after the update, or an error when the update is damaged or for another base.
+/// @param base the list that the receiver has
+/// @return the list after the update, or an error if the update is corrupt or has another base.
 Result<v1::RelayList> applyUpdate(v1::RelayList base, const v1::RelayListUpdate& update);
 
 } // namespace workshatch::relay
--- a/src/core/relay/request_queues.cc
+++ b/src/core/relay/request_queues.cc
@@ -6,44 +6,44 @@
 
 namespace workshatch::relay {
 
-bool RequestQueues::enqueue(const std::string& service, const QueuePosition& place,
-                            WakeCallback called) {
-  Line& line = lines_[service];
-  if (line.size() >= most_waiting_) {
-    const auto last = std::prev(line.end());
-    if (last->first < place) {
+bool RequestQueues::enqueue(const std::string& service, const QueuePosition& position,
+                            WakeCallback wake) {
+  Queue& queue = queues_[service];
+  if (queue.size() >= max_length_) {
+    const auto last = std::prev(queue.end());
+    if (last->first < position) {
       return false;
     }
-    const WakeCallback gives_up = std::move(last->second);
-    line.erase(last);
-    gives_up(WakeReason::Evicted);
+    const WakeCallback evict = std::move(last->second);
+    queue.erase(last);
+    evict(WakeReason::Evicted);
   }
-  lines_[service].emplace(place, std::move(called));
+  queues_[service].emplace(position, std::move(wake));
   return true;
 }
 
-void RequestQueues::remove(const std::string& service, const QueuePosition& place) {
-  const auto line = lines_.find(service);
-  if (line != lines_.end()) {
-    line->second.erase(place);
+void RequestQueues::remove(const std::string& service, const QueuePosition& position) {
+  const auto queue = queues_.find(service);
+  if (queue != queues_.end()) {
+    queue->second.erase(position);
   }
 }
 
 void RequestQueues::wakeNext(const std::string& service) {
-  const auto line = lines_.find(service);
-  if (line == lines_.end() || line->second.empty()) {
+  const auto queue = queues_.find(service);
+  if (queue == queues_.end() || queue->second.empty()) {
     return;
   }
-  const auto first = line->second.begin();
-  const WakeCallback called = std::move(first->second);
-  line->second.erase(first);
-  called(WakeReason::SlotMayBeFree);
+  const auto first = queue->second.begin();
+  const WakeCallback wake = std::move(first->second);
+  queue->second.erase(first);
+  wake(WakeReason::SlotMayBeFree);
 }
 
 void RequestQueues::wakeNextOfEachService() {
   std::vector<std::string> services;
-  for (const auto& [service, line] : lines_) {
-    if (!line.empty()) {
+  for (const auto& [service, queue] : queues_) {
+    if (!queue.empty()) {
       services.push_back(service);
     }
   }
@@ -53,14 +53,14 @@
 }
 
 bool RequestQueues::hasRequestAhead(const std::string& service, uint32_t priority) const {
-  const auto line = lines_.find(service);
-  return line != lines_.end() && !line->second.empty() &&
-         line->second.begin()->first.priority <= priority;
+  const auto queue = queues_.find(service);
+  return queue != queues_.end() && !queue->second.empty() &&
+         queue->second.begin()->first.priority <= priority;
 }
 
 size_t RequestQueues::length(const std::string& service) const {
-  const auto line = lines_.find(service);
-  return line == lines_.end() ? 0 : line->second.size();
+  const auto queue = queues_.find(service);
+  return queue == queues_.end() ? 0 : queue->second.size();
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/request_queues.h
+++ b/src/core/relay/request_queues.h
@@ -1,5 +1,5 @@
 /// @file
-/// Requests of one relay that wait for a place at a busy service.
+/// Queues of a relay's requests that wait for a slot at a busy service.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +11,8 @@
 
 namespace workshatch::relay {
 
-/// Where a request stands in the line: the more urgent first, then the one with less time left,
-/// then the one that came first.
+/// Position of a request in its queue: the more urgent first, then the one with less time left,
+/// then the one that arrived first.
 struct QueuePosition {
   uint32_t priority = 0;
   int64_t deadline_ms = 0;
@@ -24,47 +24,48 @@
   }
 };
 
-/// One line for each service, of bounded length: the last gives way to a request before it.
-/// A request in the line is called at most once; to wait on, it joins again. Calls happen within
-/// the methods of this class. Not safe for concurrent use.
+/// One queue of bounded length for each service. When a queue is full, a request that goes before
+/// the last one evicts it. A queued request is woken at most once; to keep waiting it must be
+/// queued again. Callbacks run within the methods of this class. Not safe for concurrent use.
 class RequestQueues {
 public:
   enum class WakeReason {
-    /// A place may have become free.
+    /// A slot may have become free.
     SlotMayBeFree,
-    /// The line is full and others go first.
+    /// The queue is full of requests that go first.
     Evicted,
   };
   using WakeCallback = std::function<void(WakeReason)>;
 
-  explicit RequestQueues(size_t max_length) : most_waiting_(max_length) {}
+  explicit RequestQueues(size_t max_length) : max_length_(max_length) {}
 
-  /// @return a place for a request that has not joined yet.
+  /// @return a position for a request that has not been queued yet.
   QueuePosition newPosition(uint32_t priority, int64_t deadline_ms) {
     return QueuePosition{
         .priority = priority, .deadline_ms = deadline_ms, .number = ++last_number_};
   }
 
-  /// @return false when the line is full of requests that go first.
-  bool enqueue(const std::string& service, const QueuePosition& place, WakeCallback called);
-  /// Leaves the line; nothing happens when the request was called already.
-  void remove(const std::string& service, const QueuePosition& place);
+  /// Adds a request to the service's queue.
+  /// @return false if the queue is full of requests that go first.
+  bool enqueue(const std::string& service, const QueuePosition& position, WakeCallback wake);
+  /// Removes a request from its queue; has no effect if the request was woken already.
+  void remove(const std::string& service, const QueuePosition& position);
 
-  /// Calls the first in line, if there is one.
+  /// Wakes the first request of the service's queue, if there is one.
   void wakeNext(const std::string& service);
-  /// As `wakeNext`, for each service.
+  /// Wakes the first request of each service's queue.
   void wakeNextOfEachService();
 
-  /// @return whether a request waits that goes before a new one of this priority.
+  /// @return whether a queued request goes before a new one of this priority.
   bool hasRequestAhead(const std::string& service, uint32_t priority) const;
   size_t length(const std::string& service) const;
 
 private:
-  using Line = std::map<QueuePosition, WakeCallback>;
+  using Queue = std::map<QueuePosition, WakeCallback>;
 
-  const size_t most_waiting_;
+  const size_t max_length_;
   uint64_t last_number_ = 0;
-  std::map<std::string, Line> lines_;
+  std::map<std::string, Queue> queues_;
 };
 
 } // namespace workshatch::relay
--- a/src/core/relay/retry_after_scheduler.cc
+++ b/src/core/relay/retry_after_scheduler.cc
@@ -8,38 +8,39 @@
 
 namespace {
 
-/// The pace is taken over this time: a few times as long as a request of an engine lasts.
-constexpr int64_t kPaceWindowMs = 2000;
-/// Nobody comes back sooner: what the other relays do is known no faster than this.
-constexpr int64_t kSoonestMs = 250;
-/// Part of the places that become free which those who come back may count on; new callers take the
-/// rest.
-constexpr double kPartForReturns = 0.5;
-/// A caller that waits for longer than a third of its time gives up; some of it is on the way.
-constexpr double kMostOfTimeLeft = 0.3;
+/// The rate of completions is measured over this time: a few times the duration of an engine's
+/// request.
+constexpr int64_t kRateWindowMs = 2000;
+/// Minimum delay: a relay's data on the load of the others is no newer than this.
+constexpr int64_t kMinDelayMs = 250;
+/// Fraction of the released slots for callers that retry; the rest is for new callers.
+constexpr double kRetryFraction = 0.5;
+/// Maximum delay as a fraction of the caller's time left: a caller that waits for longer than a
+/// third of it gives up, and some of the time is spent in transit.
+constexpr double kMaxDelayFraction = 0.3;
 
 } // namespace
 
 void RetryAfterScheduler::recordCompletion(const std::string& service, int64_t now_ms) {
-  std::deque<int64_t>& ended = services_[service].ended;
-  ended.push_back(now_ms);
-  dropUntil(ended, now_ms - kPaceWindowMs - 1);
+  std::deque<int64_t>& completed_ms = services_[service].completed_ms;
+  completed_ms.push_back(now_ms);
+  dropUntil(completed_ms, now_ms - kRateWindowMs - 1);
 }
 
 uint32_t RetryAfterScheduler::nextDelayMs(const std::string& service, int64_t left_ms,
                                           int64_t now_ms) {
   Service& state = services_[service];
-  std::deque<int64_t>& ended = state.ended;
-  dropUntil(ended, now_ms - kPaceWindowMs - 1);
-  const double returns = std::max(kPartForReturns * static_cast<double>(ended.size()), 1.0);
-  const auto gap_ms = static_cast<int64_t>(static_cast<double>(kPaceWindowMs) / returns);
-  const auto latest_ms = static_cast<int64_t>(kMostOfTimeLeft * static_cast<double>(left_ms));
-  const int64_t wanted_ms = std::max(state.last_return_ms + gap_ms, now_ms + kSoonestMs);
-  if (wanted_ms - now_ms <= latest_ms) {
-    // A caller that has to come sooner than its turn does not delay the others.
-    state.last_return_ms = wanted_ms;
+  std::deque<int64_t>& completed_ms = state.completed_ms;
+  dropUntil(completed_ms, now_ms - kRateWindowMs - 1);
+  const double retries = std::max(kRetryFraction * static_cast<double>(completed_ms.size()), 1.0);
+  const auto gap_ms = static_cast<int64_t>(static_cast<double>(kRateWindowMs) / retries);
+  const auto latest_ms = static_cast<int64_t>(kMaxDelayFraction * static_cast<double>(left_ms));
+  const int64_t scheduled_ms = std::max(state.last_retry_ms + gap_ms, now_ms + kMinDelayMs);
+  if (scheduled_ms - now_ms <= latest_ms) {
+    // A caller that must retry before its turn does not delay the others.
+    state.last_retry_ms = scheduled_ms;
   }
-  return static_cast<uint32_t>(std::max<int64_t>(std::min(wanted_ms - now_ms, latest_ms), 1));
+  return static_cast<uint32_t>(std::max<int64_t>(std::min(scheduled_ms - now_ms, latest_ms), 1));
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/retry_after_scheduler.h
+++ b/src/core/relay/retry_after_scheduler.h
@@ -1,5 +1,5 @@
 /// @file
-/// When callers that were refused for want of a place shall come back.
+/// When callers that were refused because no slot was free should retry.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +9,25 @@
 
 namespace workshatch::relay {
 
-/// Gives refused callers times to come back at, one after the other at the pace at which the
-/// service's requests end, so that they do not all return at once into the same crowd.
-/// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
+/// Schedules the retries of refused callers one after the other, at the rate at which the service's
+/// requests complete, so that they do not all return at once to a service that is still full. Times
+/// are milliseconds of the monotonic clock. Not safe for concurrent use.
 class RetryAfterScheduler {
 public:
-  /// Notes that a request of the service ended, so that its place became free.
+  /// Records that a request of the service ended and released its slot.
   void recordCompletion(const std::string& service, int64_t now_ms);
 
-  /// @param left_ms the time that the caller has left
-  /// @return after how many milliseconds it shall come back: when those told before it can have
-  /// been served, but so soon that it has the most of its time left.
+  /// @param left_ms time that the caller has left
+  /// @return the delay in milliseconds after which the caller should retry: when the callers
+  /// scheduled before it can have been served, but early enough that most of its time is left.
   uint32_t nextDelayMs(const std::string& service, int64_t left_ms, int64_t now_ms);
 
 private:
   struct Service {
-    /// Requests that ended lately.
-    std::deque<int64_t> ended;
-    /// When the caller that was told last comes back.
-    int64_t last_return_ms = 0;
+    /// Times at which requests ended recently.
+    std::deque<int64_t> completed_ms;
+    /// When the caller that was scheduled last should retry.
+    int64_t last_retry_ms = 0;
   };
 
   std::map<std::string, Service> services_;
--- a/src/core/relay/retry_budget.cc
+++ b/src/core/relay/retry_budget.cc
@@ -8,35 +8,36 @@
 
 namespace {
 
-/// Part of the budget that is spent. The rest covers relays that have not yet heard how many there
-/// are now: with one in four of them unheard of, the sum of all shares is 1.33 times the slack.
-constexpr double kSpentPart = 0.7;
-/// A bucket that is full and refills for a window gives its content twice.
-constexpr double kBucketsInWindow = 2;
+/// Fraction of the budget that is spent. The rest covers relays that do not yet know the current
+/// number of relays: if they do not know of one in four, the sum of all shares is 1.33 times the
+/// slack.
+constexpr double kSpentFraction = 0.7;
+/// A bucket that starts full and refills during one window gives its capacity twice.
+constexpr double kBucketsPerWindow = 2;
 
 } // namespace
 
 void RetryBudget::setRelays(size_t relays, int64_t now_ms) {
-  const size_t told = std::max<size_t>(relays, 1);
+  const size_t reported = std::max<size_t>(relays, 1);
   if (relays_ == 0) {
     known_since_ms_ = now_ms;
   }
-  if (told >= relays_) {
+  if (reported >= relays_) {
     for (auto& [service, spending] : services_) {
       refill(spending, now_ms);
     }
-    relays_ = told;
+    relays_ = reported;
     fewer_relays_ = 0;
     return;
   }
   if (fewer_relays_ == 0) {
     fewer_since_ms_ = now_ms;
   }
-  fewer_relays_ = std::max(fewer_relays_, told);
+  fewer_relays_ = std::max(fewer_relays_, reported);
 }
 
-/// Takes over the lower number once it has been told for a whole window.
-void RetryBudget::lowerRelays(int64_t now_ms) {
+/// Adopts the lower number of relays once it has been reported for a whole window.
+void RetryBudget::adoptFewerRelays(int64_t now_ms) {
   if (fewer_relays_ == 0 || now_ms - fewer_since_ms_ < options_.window_ms) {
     return;
   }
@@ -44,58 +45,60 @@
   fewer_relays_ = 0;
 }
 
-double RetryBudget::mostTokens() const {
+double RetryBudget::bucketCapacity() const {
   if (relays_ == 0) {
     return 0;
   }
-  return kSpentPart * options_.slack / static_cast<double>(relays_) / kBucketsInWindow;
+  return kSpentFraction * options_.slack / static_cast<double>(relays_) / kBucketsPerWindow;
 }
 
 void RetryBudget::refill(Spending& spending, int64_t now_ms) const {
-  const int64_t since_ms = std::max(spending.filled_at_ms, known_since_ms_);
-  const double part =
+  const int64_t since_ms = std::max(spending.refilled_ms, known_since_ms_);
+  const double elapsed_fraction =
       static_cast<double>(now_ms - since_ms) / static_cast<double>(options_.window_ms);
-  spending.tokens = std::min(spending.tokens + std::max(part, 0.0) * mostTokens(), mostTokens());
-  spending.filled_at_ms = now_ms;
+  spending.tokens = std::min(spending.tokens + std::max(elapsed_fraction, 0.0) * bucketCapacity(),
+                             bucketCapacity());
+  spending.refilled_ms = now_ms;
 }
 
-void RetryBudget::forgetOld(Spending& spending, int64_t now_ms) const {
+void RetryBudget::dropExpired(Spending& spending, int64_t now_ms) const {
   dropUntil(spending.requests, now_ms - options_.window_ms);
-  dropUntil(spending.repeats, now_ms - options_.window_ms);
+  dropUntil(spending.retries, now_ms - options_.window_ms);
 }
 
 void RetryBudget::recordRequest(const std::string& service, int64_t now_ms) {
   Spending& spending = services_[service];
-  forgetOld(spending, now_ms);
+  dropExpired(spending, now_ms);
   spending.requests.push_back(now_ms);
 }
 
-/// Takes a repeat where the relay's share of the slack is less than one.
+/// Takes a retry where the relay's share of the slack is less than one retry.
 bool RetryBudget::takeByDraw(Spending& spending, int64_t now_ms) const {
-  const double known_part =
+  const double known_fraction =
       static_cast<double>(now_ms - known_since_ms_) / static_cast<double>(options_.window_ms);
   const double share =
-      options_.slack / static_cast<double>(relays_) * std::clamp(known_part, 0.0, 1.0);
+      options_.slack / static_cast<double>(relays_) * std::clamp(known_fraction, 0.0, 1.0);
   const double earned = options_.ratio * static_cast<double>(spending.requests.size());
-  const double allowed = kSpentPart * (share + earned) + options_.draw;
-  if (static_cast<double>(spending.repeats.size()) + 1 > allowed) {
+  const double allowed = kSpentFraction * (share + earned) + options_.draw;
+  if (static_cast<double>(spending.retries.size()) + 1 > allowed) {
     return false;
   }
-  spending.repeats.push_back(now_ms);
+  spending.retries.push_back(now_ms);
   return true;
 }
 
 bool RetryBudget::takeRetry(const std::string& service, int64_t now_ms) {
-  lowerRelays(now_ms);
+  adoptFewerRelays(now_ms);
   Spending& spending = services_[service];
-  forgetOld(spending, now_ms);
+  dropExpired(spending, now_ms);
   refill(spending, now_ms);
-  if (relays_ != 0 && mostTokens() < 1) {
+  if (relays_ != 0 && bucketCapacity() < 1) {
     return takeByDraw(spending, now_ms);
   }
-  const double earned = kSpentPart * options_.ratio * static_cast<double>(spending.requests.size());
-  if (static_cast<double>(spending.repeats.size()) + 1 <= earned) {
-    spending.repeats.push_back(now_ms);
+  const double earned =
+      kSpentFraction * options_.ratio * static_cast<double>(spending.requests.size());
+  if (static_cast<double>(spending.retries.size()) + 1 <= earned) {
+    spending.retries.push_back(now_ms);
     return true;
   }
   if (spending.tokens < 1) {
--- a/src/core/relay/retry_budget.h
+++ b/src/core/relay/retry_budget.h
@@ -1,5 +1,5 @@
 /// @file
-/// The budget of repeated attempts, shared by all relays without messages.
+/// The budget of retries, which all relays share without exchanging messages about it.
 #pragma once
 
 #include <cstdint>
@@ -9,68 +9,71 @@
 
 namespace workshatch::relay {
 
-/// What all relays together may spend on a service in any window.
+/// Limits on the retries of a service that all relays together may make in any window.
 struct RetryBudgetOptions {
-  /// Repeats allowed for each first attempt.
+  /// Retries allowed for each first attempt.
   double ratio = 0.2;
   int64_t window_ms = 10'000;
-  /// Repeats allowed beyond the ratio, in each window, over all relays.
+  /// Retries allowed beyond the ratio in each window, over all relays.
   double slack = 64;
-  /// From 0 to below 1, drawn by each process: rounds a share of less than one repeat up or down.
+  /// Random number from 0 to below 1, drawn by each process: rounds a share of less than one retry
+  /// up or down.
   double draw = 0.5;
 };
 
-/// One relay's part of the budget. Its own requests earn it the ratio. Of the slack it has an equal
-/// share as a token bucket: half of the share at most is saved up, the other half comes back over a
-/// window.
+/// One relay's share of the budget. Its own requests earn it retries by the ratio. It has an equal
+/// share of the slack, kept in a token bucket: at most half of the share is saved up, and the other
+/// half accrues during a window.
 ///
-/// In a large fleet a share is less than one repeat, and so is what a relay's few requests earn: a
-/// bucket of less than one would never give any, however few repeats the whole fleet makes. There
-/// both parts count together over the window, and the process's lot rounds their sum, so that all
-/// relays together spend the sum of their shares.
+/// In a large fleet a share is less than one retry, and so are the retries that a relay's few
+/// requests earn: a bucket of less than one token would never allow any, however few retries the
+/// whole fleet makes. There both parts are added up over the window, and the process's draw rounds
+/// their sum, so that all relays together spend the sum of their shares.
 ///
-/// Guarantee: while each relay knows how many there are, all relays together stay inside the ratio
-/// and the slack in every sliding window, also when processes restart and join: a bucket starts
-/// empty, so a process that takes over from another spends only what accrues in its own time.
-/// A relay that has not been told how many there are spends none of the slack.
+/// Guarantee: while each relay knows how many relays there are, all relays together stay within the
+/// ratio and the slack in every sliding window, also when processes restart and join: a bucket
+/// starts empty, so a process that replaces another spends only what accrues in its own lifetime. A
+/// relay that does not know the number of relays yet spends none of the slack.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
 class RetryBudget {
 public:
   explicit RetryBudget(RetryBudgetOptions options) : options_(options) {}
 
-  /// Notes how many relays share the slack. After a fall, the higher number counts for another
-  /// window, since those that went may have spent their shares in this one.
+  /// Sets the number of relays that share the slack. After a decrease, the higher number applies
+  /// for another window, since the relays that left may have spent their shares in this one.
   void setRelays(size_t relays, int64_t now_ms);
 
-  /// Notes the first attempt of a request.
+  /// Records the first attempt of a request.
   void recordRequest(const std::string& service, int64_t now_ms);
 
-  /// Takes one repeat from the budget. @return false when it is spent.
+  /// Takes one retry from the budget.
+  /// @return false if the budget is spent.
   bool takeRetry(const std::string& service, int64_t now_ms);
 
 private:
   struct Spending {
-    /// Times of first attempts and of repeats charged to them, of one window. By lot: of all
-    /// repeats.
+    /// Times of first attempts within one window, and of the retries that are charged to them;
+    /// where the draw is used, of all retries.
     std::deque<int64_t> requests;
-    std::deque<int64_t> repeats;
-    /// Tokens of the slack, and when they were last added up.
+    std::deque<int64_t> retries;
+    /// Tokens of the slack, and when the bucket was last refilled.
     double tokens = 0;
-    int64_t filled_at_ms = 0;
+    int64_t refilled_ms = 0;
   };
 
-  void forgetOld(Spending& spending, int64_t now_ms) const;
+  void dropExpired(Spending& spending, int64_t now_ms) const;
   void refill(Spending& spending, int64_t now_ms) const;
-  void lowerRelays(int64_t now_ms);
-  double mostTokens() const;
+  void adoptFewerRelays(int64_t now_ms);
+  double bucketCapacity() const;
   bool takeByDraw(Spending& spending, int64_t now_ms) const;
 
   const RetryBudgetOptions options_;
   size_t relays_ = 0;
-  /// The number told last, when it is lower than `relays_`, and since when.
+  /// The last reported number of relays if it is lower than `relays_`, and since when it has been;
+  /// 0 if it is not lower.
   size_t fewer_relays_ = 0;
   int64_t fewer_since_ms_ = 0;
-  /// Slack accrues from here on; earlier the number of relays was not known.
+  /// The slack accrues from this time on; the number of relays was not known before.
   int64_t known_since_ms_ = 0;
   std::map<std::string, Spending> services_;
 };
--- a/src/core/relay/route_table.h
+++ b/src/core/relay/route_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// Lookups in one configuration: route by host and longest prefix, tenant by key, service by name.
+/// Lookups in one configuration: routes by host and longest prefix, tenants by key, services by
+/// name.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +14,8 @@
 
 namespace workshatch::relay {
 
-/// An immutable index over a valid configuration. Pointers that it hands out live as long as it.
-/// Safe for concurrent use.
+/// An immutable index over a valid configuration. Pointers that it returns are valid for its
+/// lifetime. Safe for concurrent use.
 class RouteTable {
 public:
   explicit RouteTable(Configuration configuration);
@@ -24,19 +25,19 @@
   uint64_t version() const { return configuration_.version; }
   const Configuration& configuration() const { return configuration_; }
 
-  /// @param host value of the Host header; a port is left out, letters of any case.
-  /// @param path without query.
-  /// @return the route of this host with the longest prefix that begins the path, or null.
+  /// @param host value of the Host header in any case; a port is ignored
+  /// @param path path without query
+  /// @return the route of this host with the longest prefix that the path begins with, or null.
   const Route* findRoute(std::string_view host, std::string_view path) const;
 
-  /// @return the tenant that holds the key, or null.
+  /// @return the tenant that owns the key, or null.
   const Tenant* findTenant(std::string_view key) const;
 
   /// @return the service, or null.
   const Service* findService(std::string_view name) const;
 
-  /// Picks one of the route's services by their weights.
-  /// @param draw the same number gives the same service.
+  /// Selects one of the route's services at random, according to their weights.
+  /// @param draw random number; equal numbers select the same service
   static const std::string& pickService(const Route& route, uint64_t draw);
 
 private:
--- a/src/core/relay/serving_lease.h
+++ b/src/core/relay/serving_lease.h
@@ -1,5 +1,5 @@
 /// @file
-/// The lease under which a relay serves requests with a key.
+/// The lease under which a relay serves requests that need a key.
 #pragma once
 
 #include <cstdint>
@@ -7,26 +7,28 @@
 
 namespace workshatch::relay {
 
-/// Keeps what a relay may rely on: the leader's confirmed answers to its renewals.
+/// Tracks the lease renewals of a relay and the leader's confirmations.
 ///
 /// Guarantee: a lease that holds was confirmed by the leader in answer to a renewal that was sent
-/// less than the lease's length ago; so every change acknowledged before that sending is in force
-/// here. Times are milliseconds of the monotonic clock. Not safe for concurrent use.
+/// less than the lease's length ago; therefore every change that was acknowledged before the
+/// renewal was sent is in force here. Times are milliseconds of the monotonic clock. Not safe for
+/// concurrent use.
 class ServingLease {
 public:
-  /// @param length_ms how long a confirmed renewal counts, from its sending.
+  /// @param length_ms how long a confirmed renewal is valid, counted from its sending
   explicit ServingLease(int64_t length_ms) : length_ms_(length_ms) {}
 
-  /// Notes that a renewal is sent. @return its sequence number, never zero.
+  /// Records that a renewal is sent.
+  /// @return its sequence number, never 0.
   uint64_t renewalSent(int64_t now_ms) {
     sent_[++sequence_] = now_ms;
-    while (sent_.size() > kMostOutstanding) {
+    while (sent_.size() > kMaxOutstanding) {
       sent_.erase(sent_.begin());
     }
     return sequence_;
   }
 
-  /// Notes the leader's confirmation of a renewal; unknown sequences are ignored.
+  /// Records the leader's confirmation of a renewal; unknown sequence numbers are ignored.
   void confirmed(uint64_t sequence) {
     const auto found = sent_.find(sequence);
     if (found == sent_.end()) {
@@ -41,13 +43,16 @@
 
   bool holds(int64_t now_ms) const { return ever_confirmed_ && ageMs(now_ms) < length_ms_; }
 
-  /// @return whether the last confirmation is so new that what it did not bring does not exist.
+  /// @return whether the last confirmation is so recent that an entry that this relay does not know
+  /// does not exist.
   bool isFresh(int64_t now_ms) const { return holds(now_ms) && ageMs(now_ms) <= kFreshMs; }
 
-  /// Milliseconds since the sending of the newest confirmed renewal; -1 before the first.
+  /// @return milliseconds since the newest confirmed renewal was sent; -1 before the first
+  /// confirmation.
   int64_t ageMs(int64_t now_ms) const { return ever_confirmed_ ? now_ms - confirmed_sent_ms_ : -1; }
 
-  /// Milliseconds without a confirmation: since the sending of the last, or since the start.
+  /// @return milliseconds without a confirmation: since the newest confirmed renewal was sent, or
+  /// since the start if there is none.
   /// @param started_ms when the process started
   int64_t unconfirmedForMs(int64_t now_ms, int64_t started_ms) const {
     return now_ms - (ever_confirmed_ ? confirmed_sent_ms_ : started_ms);
@@ -56,15 +61,16 @@
   bool everConfirmed() const { return ever_confirmed_; }
 
 private:
-  static constexpr size_t kMostOutstanding = 64;
-  /// Longer than the longest period of renewals, shorter than a change may take to be in force.
+  static constexpr size_t kMaxOutstanding = 64;
+  /// Longer than the longest renewal period, shorter than the time that a change may take to come
+  /// into force.
   static constexpr int64_t kFreshMs = 1800;
 
   int64_t length_ms_;
   uint64_t sequence_ = 0;
   bool ever_confirmed_ = false;
   int64_t confirmed_sent_ms_ = 0;
-  /// Time of sending by sequence, of renewals that were not confirmed yet.
+  /// Sending times of renewals that are not confirmed yet, by sequence number.
   std::map<uint64_t, int64_t> sent_;
 };
 
--- a/src/core/relay/slot_limits.h
+++ b/src/core/relay/slot_limits.h
@@ -1,45 +1,50 @@
 /// @file
-/// How full a runner may be before a request is not sent to it any more.
+/// How many requests may be in progress at a runner before it gets no further request of a given
+/// rank.
 #pragma once
 
 #include <cstdint>
 
 namespace workshatch::relay {
 
-/// What a request's claim on a busy runner depends on.
+/// The properties of a request that determine how many slots of a runner it may use.
 struct RequestRank {
-  /// 0 is the most urgent, 9 the least.
+  /// 0 is the most urgent, 9 the least urgent.
   uint32_t priority = 0;
-  /// The request's tenant uses more than its share of the fleet.
+  /// Whether the request's tenant uses more than its share of the fleet.
   bool over_share = false;
-  /// Draws the few of each priority that count as the most urgent.
+  /// Random number that selects the few requests of each priority that count as the most urgent.
   uint64_t draw = 0;
 };
 
-/// Trunk reservation: the last places of a runner are kept for the more urgent requests, so that
-/// those find one without waiting, and without preempting what runs.
+/// Trunk reservation: the last slots of a runner are reserved for more urgent requests, so that
+/// these find a free slot without waiting and without preempting running requests.
 struct SlotLimitOptions {
-  /// Part of a runner's places that the least urgent requests leave free, for each step of
-  /// priority. With 48 places two; fewer are lost in what sums of loads lag behind.
+  /// Fraction of a runner's slots that requests leave free for each step by which their priority is
+  /// below the most urgent. With 48 slots it is two slots per step; fewer would be lost in the lag
+  /// of the load totals.
   double reserved_fraction_per_priority = 0.05;
-  /// One request in so many counts as the most urgent, whatever its priority, so that no kind of
-  /// request starves while more urgent ones alone fill the fleet.
+  /// One request in this many counts as the most urgent, whatever its priority, so that no kind of
+  /// request starves while more urgent requests alone fill the fleet.
   uint64_t urgent_one_in = 8;
-  /// Further part that a tenant over its share leaves free. With a quarter, a fleet that could have
-  /// served all refused 7 in 100 of a day with one tenant at ten times its usual.
+  /// Additional fraction that requests of a tenant over its share leave free. With a quarter, a
+  /// fleet that could have served all requests refused 7 in 100 on a day on which one tenant sent
+  /// ten times its usual number.
   double reserved_fraction_over_share = 0.1;
-  /// No request is kept from more than this part. A fleet that refuses work while half of its
-  /// places are free serves nobody better.
+  /// Minimum fraction of the slots that every request may use. A fleet that refuses work while half
+  /// of its slots are free serves nobody better.
   double min_usable_fraction = 0.6;
-  /// Requests in progress at a plain service's runner, as a multiple of its places. What is over
-  /// one waits in the runner's queue, for two services' times at most.
+  /// Maximum number of requests in progress at a plain service's runner, as a multiple of its
+  /// slots. Requests beyond the slots wait in the runner's queue, for at most two service times.
   double service_queue_factor = 3;
 };
 
-/// @param places requests that the runner works on at the same time; zero: not known
-/// @param engine a model engine, where a request that waits for a place delays its first event
-/// @return requests in progress up to which another one of this standing is sent there.
-uint32_t slotLimit(const SlotLimitOptions& options, uint32_t places, bool engine,
+/// @param slots number of requests that the runner processes at the same time; 0 if unknown
+/// @param engine whether the runner is a model engine, where a request that waits for a slot delays
+/// its first event
+/// @return the number of requests in progress below which the runner may get another request of
+/// this rank
+uint32_t slotLimit(const SlotLimitOptions& options, uint32_t slots, bool engine,
                    const RequestRank& rank);
 
 } // namespace workshatch::relay
--- a/src/core/relay/slot_owner.h
+++ b/src/core/relay/slot_owner.h
@@ -1,6 +1,6 @@
 /// @file
-/// The owner's side of places at runners: counts what all relays have in progress at a runner and
-/// gives places up to a limit.
+/// The owner's side of runners' slots: counts what all relays have in progress at a runner and
+/// grants slots up to a limit.
 #pragma once
 
 #include <cstdint>
@@ -14,103 +14,105 @@
 
 namespace workshatch::relay {
 
-/// A relay tells what it has at a runner again after this time.
+/// Period after which a relay repeats the report of its usage of a runner.
 inline constexpr int64_t kSlotUsageReportPeriodMs = 1500;
 
-/// What the owner's own tables tell of a runner.
+/// What the owner's runner table contains about a runner.
 struct OwnedRunner {
-  /// Load by the last sums; counts while the owner has not heard of the runner for long enough to
-  /// know all who use it.
+  /// Load by the last load totals. Counts only until the owner has received reports from all relays
+  /// that use the runner.
   uint32_t reported_load = 0;
-  /// It is in the owner's list.
+  /// Whether the runner is in the owner's runner list.
   bool listed = false;
-  /// Its zone is evacuated.
+  /// Whether the runner's zone is evacuated.
   bool evacuated = false;
-  /// For how long it stays cold.
+  /// Remaining time for which the runner is cold.
   uint32_t cold_ms = 0;
-  /// How many requests it gets while it is cold.
+  /// Rate limit of requests to the runner while it is cold.
   RateLimit cold_pace;
 };
 
-/// The places of the runners that one relay owns.
+/// Grants the slots of the runners that one relay owns.
 ///
-/// Load pattern: hundreds of relays that send a few requests a second each to hundreds of runners.
-/// Sums of their loads are older than most requests last, so that all relays choose the same
-/// runner and find it full. Here one relay counts what the others have at a runner, as new as a
-/// datagram's way.
+/// Load pattern: hundreds of relays each send a few requests per second to hundreds of runners.
+/// Load totals are older than the duration of most requests, so all relays choose the same runner
+/// and find it full. Here one relay counts what the others have in progress at a runner; its count
+/// lags behind by the transit time of a datagram only.
 ///
-/// Relays tell how much they hold, not what they took or gave back: a message that is lost makes
-/// the count wrong only until the next one, or until it expires. A relay that asks the wrong owner,
-/// while lists of relays differ, is answered all the same; two owners may then give some places
-/// twice.
+/// Relays report how many slots they use, not each slot that they take or release: a lost message
+/// makes the count wrong only until the next report, or until the old one expires. A relay that
+/// sends a claim to the wrong owner, while lists of relays differ, is answered all the same; two
+/// owners may then grant some slots twice.
 ///
-/// A cold runner gets places no faster than its pace, by whoever of the relays says that it is
-/// cold; one in an evacuated zone gets none.
+/// The slots of a cold runner are granted at its rate limit, whichever relay reports that it is
+/// cold. No slots are granted at a runner in an evacuated zone.
 ///
-/// Guarantees: of the relays that tell it their use of a runner, no claim is granted over its
-/// limit; while a runner counts as cold, no second brings it more grants than its pace and burst.
+/// Guarantees: no claim is granted over its limit, as far as relays report their usage of the
+/// runner to this owner; while a runner counts as cold, no second brings it more grants than its
+/// rate limit and burst allow.
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
 class SlotOwner {
 public:
-  /// What the owner answers to a claim.
+  /// The answer to a claim.
   struct Decision {
     bool granted = false;
-    /// Requests in progress at the runner, the granted one included.
+    /// Requests in progress at the runner, including the granted one.
     uint32_t load = 0;
-    /// Set when refused for another reason than the limit: no place is given for so long.
+    /// Set if the claim was refused for another reason than its limit: the time for which no slot
+    /// will be granted.
     uint32_t wait_ms = 0;
   };
 
-  /// Notes that the relays that own runners have changed: for a moment another may give places of
-  /// the same runners.
+  /// Records that the relays that own runners have changed: for a short time another relay may
+  /// grant slots of the same runners.
   void recordOwnersChanged(int64_t now_ms) { owners_changed_ms_ = now_ms; }
 
-  /// @param relay address of the relay that asks
+  /// @param relay address of the relay that sends the claim
   Decision claim(const std::string& relay, const v1::PlaceClaim& claim, const OwnedRunner& runner,
                  int64_t now_ms);
 
-  /// Takes what a relay has at a runner; a message older than the last one is ignored.
+  /// Records a relay's usage of a runner; a report that is older than the last one is ignored.
   void recordUsage(const std::string& relay, const v1::PlaceUse& use, int64_t now_ms);
 
-  /// Drops what a relay that is gone had.
+  /// Drops the usage of a relay that is gone.
   void forgetRelay(const std::string& relay);
 
-  /// Drops what was not told again in time.
+  /// Drops usage whose report was not repeated in time.
   void forgetStale(int64_t now_ms);
 
-  /// Requests in progress at the runner, as told.
+  /// @return the requests in progress at the runner, by the relays' reports.
   uint32_t loadOf(uint64_t runner) const;
   size_t runnerCount() const { return runners_.size(); }
 
 private:
-  struct Use {
-    uint32_t held = 0;
+  struct Usage {
+    uint32_t slots_in_use = 0;
     uint32_t incarnation = 0;
     uint64_t sequence = 0;
-    int64_t told_ms = 0;
+    int64_t reported_ms = 0;
   };
-  struct Places {
-    /// When the first relay told of this runner.
+  struct SlotState {
+    /// When the first report or claim for this runner arrived.
     int64_t known_since_ms = 0;
     uint32_t load = 0;
-    /// By address of the relay.
-    std::map<std::string, Use> uses;
-    /// The runner counts as cold until then.
+    /// By the relay's address.
+    std::map<std::string, Usage> usage_by_relay;
+    /// Time until which the runner counts as cold.
     int64_t cold_until_ms = 0;
-    /// Of a runner that was cold since it is known here.
-    std::optional<SlotRateLimiter> pace;
+    /// Limits the grants while the runner is cold; empty while it is warm.
+    std::optional<SlotRateLimiter> rate_limiter;
   };
 
-  Places& placesOf(uint64_t runner, int64_t now_ms);
-  uint32_t waitForPace(Places& places, const v1::PlaceClaim& claim, const OwnedRunner& runner,
-                       int64_t now_ms) const;
-  static void setHeld(Places& places, Use& use, uint32_t held);
-  static void take(Places& places, const std::string& relay, const v1::PlaceUse& told,
-                   int64_t now_ms);
+  SlotState& slotStateOf(uint64_t runner, int64_t now_ms);
+  uint32_t rateLimitDelayMs(SlotState& slots, const v1::PlaceClaim& claim,
+                            const OwnedRunner& runner, int64_t now_ms) const;
+  static void setSlotsInUse(SlotState& slots, Usage& usage, uint32_t slots_in_use);
+  static void applyReport(SlotState& slots, const std::string& relay, const v1::PlaceUse& report,
+                          int64_t now_ms);
 
-  /// By fingerprint of the runner's life.
-  std::unordered_map<uint64_t, Places> runners_;
-  /// Empty: never.
+  /// By fingerprint of the runner's incarnation.
+  std::unordered_map<uint64_t, SlotState> runners_;
+  /// Empty if the owners never changed.
   std::optional<int64_t> owners_changed_ms_;
 };
 
--- a/src/core/relay/slot_owner_map.cc
+++ b/src/core/relay/slot_owner_map.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// An owner that did not answer is asked again after this: one request in that time pays the wait
-/// for its answer, at each relay.
+/// Time for which an owner that did not answer receives no claims. After each such period, one
+/// request of each relay waits for an answer again.
 constexpr int64_t kSilentMs = 1000;
 
 } // namespace
@@ -23,28 +23,28 @@
 
 std::vector<std::string> SlotOwnerMap::setRelays(std::vector<std::string> relays) {
   std::sort(relays.begin(), relays.end());
-  std::vector<std::string> left;
+  std::vector<std::string> removed;
   std::set_difference(relays_.begin(), relays_.end(), relays.begin(), relays.end(),
-                      std::back_inserter(left));
-  for (const std::string& relay : left) {
+                      std::back_inserter(removed));
+  for (const std::string& relay : removed) {
     silent_until_ms_.erase(relay);
   }
   relays_ = std::move(relays);
-  ranked_first_.clear();
-  return left;
+  owner_index_.clear();
+  return removed;
 }
 
 const std::string* SlotOwnerMap::ownerOf(uint64_t runner) {
   if (relays_.empty()) {
     return nullptr;
   }
-  const auto [found, added] = ranked_first_.try_emplace(runner);
+  const auto [found, added] = owner_index_.try_emplace(runner);
   if (added) {
-    uint64_t best_weight = 0;
+    uint64_t max_weight = 0;
     for (size_t i = 0; i < relays_.size(); ++i) {
       const uint64_t weight = routing::rendezvousWeight(runner, relays_[i]);
-      if (weight > best_weight) {
-        best_weight = weight;
+      if (weight > max_weight) {
+        max_weight = weight;
         found->second = i;
       }
     }
--- a/src/core/relay/slot_usage.cc
+++ b/src/core/relay/slot_usage.cc
@@ -9,28 +9,28 @@
   if (found == runners_.end()) {
     return;
   }
-  if (--found->second.held == 0) {
+  if (--found->second.in_use == 0) {
     runners_.erase(found);
   }
 }
 
 v1::PlaceUse SlotUsage::makeReport(uint64_t runner, int64_t now_ms) {
-  v1::PlaceUse use;
-  use.set_runner(runner);
-  use.set_incarnation(incarnation_);
-  use.set_sequence(++sequence_);
+  v1::PlaceUse report;
+  report.set_runner(runner);
+  report.set_incarnation(incarnation_);
+  report.set_sequence(++sequence_);
   const auto found = runners_.find(runner);
   if (found != runners_.end()) {
-    use.set_held(found->second.held);
-    found->second.told_ms = now_ms;
+    report.set_held(found->second.in_use);
+    found->second.reported_ms = now_ms;
   }
-  return use;
+  return report;
 }
 
 std::vector<uint64_t> SlotUsage::dueRunners(int64_t now_ms) const {
   std::vector<uint64_t> due;
-  for (const auto& [runner, held] : runners_) {
-    if (now_ms - held.told_ms >= kSlotUsageReportPeriodMs) {
+  for (const auto& [runner, usage] : runners_) {
+    if (now_ms - usage.reported_ms >= kSlotUsageReportPeriodMs) {
       due.push_back(runner);
     }
   }
@@ -39,15 +39,15 @@
 
 std::vector<uint64_t> SlotUsage::runners() const {
   std::vector<uint64_t> runners;
-  for (const auto& [runner, held] : runners_) {
+  for (const auto& [runner, usage] : runners_) {
     runners.push_back(runner);
   }
   return runners;
 }
 
-uint32_t SlotUsage::heldAt(uint64_t runner) const {
+uint32_t SlotUsage::slotsInUse(uint64_t runner) const {
   const auto found = runners_.find(runner);
-  return found == runners_.end() ? 0 : found->second.held;
+  return found == runners_.end() ? 0 : found->second.in_use;
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/tenant_shares.cc
+++ b/src/core/relay/tenant_shares.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// A tenant is over its share with so many times an equal part; tenants of the same size differ by
-/// chance by less.
-constexpr double kEqualPartsAllowed = 1.5;
-/// Shares count while more than this part of the places is taken.
-constexpr double kBusyPart = 0.9;
-/// Positions beyond this are of no configuration that can be held.
-constexpr uint32_t kMostTenants = 100'000;
+/// A tenant is over its share if it uses more than this many equal shares. Tenants of the same size
+/// differ by less than that by chance.
+constexpr double kEqualSharesAllowed = 1.5;
+/// Shares are enforced while more than this fraction of the slots is taken.
+constexpr double kBusyFraction = 0.9;
+/// Positions from this on are ignored: no configuration that can be stored has so many tenants.
+constexpr uint32_t kMaxTenants = 100'000;
 
 } // namespace
 
@@ -57,7 +57,7 @@
   }
   for (int i = 0; i < report.positions_size(); ++i) {
     const uint32_t position = report.positions(i);
-    if (position >= kMostTenants) {
+    if (position >= kMaxTenants) {
       continue;
     }
     if (position >= in_progress_.size()) {
@@ -67,16 +67,16 @@
   }
 }
 
-v1::TenantPositions TenantTotals::overShare(uint64_t places) const {
+v1::TenantPositions TenantTotals::overShare(uint64_t slots) const {
   v1::TenantPositions over_share;
   over_share.set_configuration_version(version_);
   const uint64_t total = std::accumulate(in_progress_.begin(), in_progress_.end(), uint64_t{0});
   const auto idle = std::count(in_progress_.begin(), in_progress_.end(), uint32_t{0});
   const auto active = static_cast<double>(in_progress_.size()) - static_cast<double>(idle);
-  if (static_cast<double>(total) <= kBusyPart * static_cast<double>(places)) {
+  if (static_cast<double>(total) <= kBusyFraction * static_cast<double>(slots)) {
     return over_share;
   }
-  const double allowed = kEqualPartsAllowed * static_cast<double>(total) / active;
+  const double allowed = kEqualSharesAllowed * static_cast<double>(total) / active;
   for (uint32_t position = 0; position < in_progress_.size(); ++position) {
     if (in_progress_[position] > allowed) {
       over_share.add_positions(position);
--- a/src/core/relay/tenant_shares.h
+++ b/src/core/relay/tenant_shares.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which tenants use more of a busy fleet than their share.
+/// Which tenants use more than their share of a busy fleet.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,9 @@
 
 namespace workshatch::relay {
 
-/// One relay's part: its requests in progress by tenant, and what the leader told of the tenants.
-/// Tenants travel as positions in the configuration with a version. Not safe for concurrent use.
+/// A relay's side: its requests in progress by tenant, and the tenants that the leader reported as
+/// over their share. Messages identify tenants by their position in the configuration of a given
+/// version. Not safe for concurrent use.
 class TenantUsage {
 public:
   void begin(const std::string& tenant) { ++in_progress_[tenant]; }
@@ -22,7 +23,7 @@
 
   v1::TenantLoads report(const Configuration& configuration) const;
 
-  /// Takes the tenants that are over their share; what names another configuration is left out.
+  /// Sets the tenants that are over their share. Positions in another configuration are ignored.
   void setOverShare(const v1::TenantPositions& over_share, const Configuration& configuration);
   bool overShare(const std::string& tenant) const { return over_share_.contains(tenant); }
 
@@ -31,18 +32,18 @@
   std::set<std::string> over_share_;
 };
 
-/// The leader's part: sums over the relays that hold the same configuration.
+/// The leader's side: totals over the relays that have the same configuration.
 class TenantTotals {
 public:
   explicit TenantTotals(uint64_t configuration_version) : version_(configuration_version) {}
 
-  /// Adds one relay's report; one about another configuration is left out.
+  /// Adds one relay's report; a report for another configuration is ignored.
   void add(const v1::TenantLoads& report);
 
-  /// @param places requests that all runners work on at the same time
-  /// @return the tenants with far more than an equal part of what is in progress; none while most
-  /// places are free.
-  v1::TenantPositions overShare(uint64_t places) const;
+  /// @param slots number of requests that all runners process at the same time
+  /// @return the tenants that use far more than an equal share of the requests in progress; none
+  /// unless nearly all slots are taken.
+  v1::TenantPositions overShare(uint64_t slots) const;
 
 private:
   const uint64_t version_;
--- a/src/core/relay/text_patch.cc
+++ b/src/core/relay/text_patch.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// @return the length of the part that `text` begins with.
+/// @return the length of the first part of `text`.
 size_t partLength(std::string_view text) {
   const size_t end = text.find_first_of("}\n");
   return end == std::string_view::npos ? text.size() : end + 1;
@@ -24,12 +24,13 @@
   return parts;
 }
 
-/// Appends a copy; one that goes on where the last piece's copy ended makes that longer.
+/// Appends a copy, or extends the last piece if the copy continues where that piece's copy ended.
 void appendCopy(v1::TextPatch& pieces, size_t from, size_t length) {
   if (pieces.pieces_size() != 0) {
     v1::TextPiece& last = *pieces.mutable_pieces(pieces.pieces_size() - 1);
-    const bool goes_on = last.literal_bytes() == 0 && last.copy_from() + last.copy_bytes() == from;
-    if (goes_on) {
+    const bool continues_last =
+        last.literal_bytes() == 0 && last.copy_from() + last.copy_bytes() == from;
+    if (continues_last) {
       last.set_copy_bytes(last.copy_bytes() + static_cast<uint32_t>(length));
       return;
     }
@@ -55,15 +56,15 @@
     const size_t length = partLength(target.substr(at));
     const std::string_view part = target.substr(at, length);
     at += length;
-    const bool follows =
+    const bool continues_copy =
         copied_up_to <= base.size() && base.substr(copied_up_to).substr(0, length) == part;
     const auto found = parts.find(part);
-    if (!follows && found == parts.end()) {
+    if (!continues_copy && found == parts.end()) {
       appendLiteral(patch.pieces, length);
       patch.literals.append(part);
       continue;
     }
-    const size_t from = follows ? copied_up_to : found->second;
+    const size_t from = continues_copy ? copied_up_to : found->second;
     appendCopy(patch.pieces, from, length);
     copied_up_to = from + length;
   }
@@ -77,9 +78,9 @@
   target.reserve(patch.pieces.target_bytes());
   size_t literals_used = 0;
   for (const v1::TextPiece& piece : patch.pieces.pieces()) {
-    const bool inside = uint64_t{piece.copy_from()} + piece.copy_bytes() <= base.size() &&
-                        literals_used + piece.literal_bytes() <= patch.literals.size();
-    if (!inside) {
+    const bool in_bounds = uint64_t{piece.copy_from()} + piece.copy_bytes() <= base.size() &&
+                           literals_used + piece.literal_bytes() <= patch.literals.size();
+    if (!in_bounds) {
       return Error{"a piece of the patch lies outside its base"};
     }
     target.append(base.substr(piece.copy_from(), piece.copy_bytes()));
--- a/src/core/relay/time_buckets.h
+++ b/src/core/relay/time_buckets.h
@@ -1,5 +1,5 @@
 /// @file
-/// Buckets by which times of answers are counted, so that relays can tell a distribution in a few
+/// Histogram buckets for the times of answers, so that relays can report a distribution in a few
 /// numbers.
 #pragma once
 
@@ -9,13 +9,13 @@
 
 namespace workshatch::relay {
 
-/// The last one also counts all that is longer: over 45 s.
+/// Number of buckets. The last one also counts all longer times, over 45 s.
 inline constexpr size_t kTimeBuckets = 34;
-/// Buckets after which times have doubled.
+/// Number of buckets per doubling of the time.
 inline constexpr size_t kBucketsPerDoubling = 2;
 
-/// @return the bucket of a time: 0 up to half a millisecond, each next one up to 1.41 times the one
-/// before.
+/// @return the bucket of a time. Bucket 0 ends at half a millisecond; the upper bound of each
+/// further bucket is 1.41 times that of the one before.
 inline size_t timeBucketOf(double milliseconds) {
   constexpr double kFirstBucketMs = 0.5;
   if (milliseconds <= kFirstBucketMs) {
--- a/src/core/relay/time_window.h
+++ b/src/core/relay/time_window.h
@@ -7,7 +7,7 @@
 
 namespace workshatch::relay {
 
-/// Drops the times up to `oldest_ms`; times are in order.
+/// Drops the times up to and including `oldest_ms` from a list in ascending order.
 inline void dropUntil(std::deque<int64_t>& times, int64_t oldest_ms) {
   while (!times.empty() && times.front() <= oldest_ms) {
     times.pop_front();
