--- a/tests/unit/core/relay/bulk_pacer_test.cc
+++ b/tests/unit/core/relay/bulk_pacer_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// The pace of a leader's large frames: 300 relays that need a list of 3,000 runners.
+/// Pacing of a leader's large frames: 300 relays need a list of 3,000 runners, and heartbeats share
+/// the link.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -8,12 +9,13 @@
 
 namespace workshatch::test {
 
-TEST_CASE("A list for 300 relays leaves the link free for heartbeats and is done in two seconds") {
+TEST_CASE(
+    "Sending a list to 300 relays takes at most two seconds and delays heartbeats only briefly") {
   constexpr double kLinkMbps = 100;
   constexpr double kLinkBytesPerMs = kLinkMbps * 125;
   constexpr size_t kListBytes = 35'000;
   constexpr int kRelays = 300;
-  /// A follower stands for election after this.
+  /// Time after which a follower starts an election.
   constexpr double kElectionMs = 300;
   relay::BulkPacer pacer(kLinkMbps);
   int sent = 0;
@@ -32,7 +34,7 @@
   }
   CHECK(sent == kRelays);
   CHECK(now_ms <= 2000);
-  // Sent at once, a heartbeat would have waited for 840 ms.
+  // If the lists were sent at once, a heartbeat would wait for 840 ms.
   CHECK(longest_wait_ms <= kElectionMs / 4);
 }
 
--- a/tests/unit/core/relay/group_state_test.cc
+++ b/tests/unit/core/relay/group_state_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// The replicated state of the group: evacuations beside the configuration, snapshots of both.
+/// The replicated state of the group: configuration, evacuations, quarantine, rollouts, and their
+/// snapshots.
 #include <string>
 #include <vector>
 
@@ -49,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("A service has one rollout at a time, whose phases follow one another") {
+TEST_CASE("A service has one rollout at a time, and its phases follow the defined order") {
   relay::GroupState state;
   CHECK(state.apply(rolloutOrder("s", "v2"), 3) == Change::Rollouts);
   CHECK(state.apply(rolloutOrder("s", "v3"), 4) == Change::None);
@@ -59,7 +60,7 @@
   CHECK(relay::findRollout(state.rollouts(), "s")->target_version() == "v2");
   CHECK(relay::findRollout(state.rollouts(), "s")->phase() == v1::ROLLOUT_CANARY);
   CHECK(relay::findRollout(state.rollouts(), "nowhere") == nullptr);
-  // Nothing succeeds that was not promoted; a verdict about another rollout changes nothing.
+  // A rollout can't succeed before it was promoted; a verdict on another rollout changes nothing.
   CHECK(state.apply(verdict("s", 3, v1::ROLLOUT_SUCCEEDED), 6) == Change::None);
   CHECK(state.apply(verdict("s", 2, v1::ROLLOUT_PROMOTING), 7) == Change::None);
   CHECK(state.apply(verdict("s", 3, v1::ROLLOUT_PROMOTING), 8) == Change::Rollouts);
@@ -73,7 +74,8 @@
   CHECK(relay::findRollout(restored.rollouts(), "s")->id() == 11);
 }
 
-TEST_CASE("A request is in quarantine from the order that puts it there to the one that ends it") {
+TEST_CASE(
+    "A request is quarantined from the order that begins the quarantine to the one that ends it") {
   relay::GroupState state;
   CHECK(state.apply(quarantineOrder(7, true), 3) == Change::Quarantine);
   CHECK(state.apply(quarantineOrder(7, true), 4) == Change::None);
@@ -87,13 +89,13 @@
   CHECK(restored.quarantine().requests(0).request().content() == 8);
 }
 
-TEST_CASE("The oldest request leaves a full quarantine") {
+TEST_CASE("A full quarantine drops its oldest request") {
   relay::GroupState state;
-  const size_t most = relay::GroupState::kMaxQuarantined;
-  for (uint64_t content = 0; content <= most; ++content) {
+  const size_t max_quarantined = relay::GroupState::kMaxQuarantined;
+  for (uint64_t content = 0; content <= max_quarantined; ++content) {
     CHECK(state.apply(quarantineOrder(content, true), content + 1) == Change::Quarantine);
   }
-  CHECK(static_cast<size_t>(state.quarantine().requests_size()) == most);
+  CHECK(static_cast<size_t>(state.quarantine().requests_size()) == max_quarantined);
   CHECK(state.quarantine().requests(0).request().content() == 1);
 }
 
@@ -109,7 +111,7 @@
   CHECK(state.evacuations().version() == 5);
 }
 
-TEST_CASE("An order that the state obeys already changes nothing, its version included") {
+TEST_CASE("An order that is already in force changes neither the state nor its version") {
   relay::GroupState state;
   CHECK(state.apply(orderFor("north", false), 2) == Change::None);
   CHECK(state.apply(orderFor("north", true), 3) == Change::Evacuations);
@@ -130,7 +132,7 @@
   CHECK(relay::evacuatedZoneNames(restored.evacuations()) == std::vector<std::string>{"north"});
 }
 
-TEST_CASE("A snapshot of a program that knew no evacuations is taken") {
+TEST_CASE("A snapshot of a program version without evacuations is restored") {
   v1::StoredConfiguration stored;
   stored.set_version(12);
   stored.set_compressed_document("twelve");
--- a/tests/unit/core/relay/lease_and_event_splitter_test.cc
+++ b/tests/unit/core/relay/lease_and_event_splitter_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The lease, and whole events.
+/// The serving lease, and the splitting of event streams into complete events.
 #include <string>
 #include <vector>
 
@@ -10,7 +10,7 @@
 
 namespace workshatch::test {
 
-TEST_CASE("A lease counts from the sending of the renewal that was confirmed") {
+TEST_CASE("A lease is valid from the sending of the confirmed renewal") {
   relay::ServingLease lease(1000);
   CHECK_FALSE(lease.holds(0));
   CHECK(lease.ageMs(500) == -1);
@@ -24,7 +24,8 @@
   CHECK_FALSE(lease.holds(1400));
 }
 
-TEST_CASE("Time without a confirmation counts from the start, then from the last one's sending") {
+TEST_CASE("Time without a confirmation counts from the start, then from the last confirmed "
+          "renewal's sending") {
   relay::ServingLease lease(1000);
   CHECK(lease.unconfirmedForMs(500, 200) == 300);
   lease.confirmed(lease.renewalSent(600));
@@ -42,7 +43,7 @@
   CHECK_FALSE(lease.holds(1400));
 }
 
-TEST_CASE("Events come whole, byte for byte, however the bytes arrive") {
+TEST_CASE("Events are returned complete and byte for byte, in whatever pieces the bytes arrive") {
   const std::string stream = "id: 1\ndata: a\n\nevent: x\r\nid:2\r\ndata: b\r\n\r\ndata: c\n\n";
   for (size_t step = 1; step <= stream.size(); ++step) {
     relay::EventSplitter splitter;
@@ -61,7 +62,7 @@
   }
 }
 
-TEST_CASE("A broken-off event is never given") {
+TEST_CASE("An incomplete event is not returned") {
   relay::EventSplitter splitter;
   splitter.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n");
   CHECK(splitter.next());
--- a/tests/unit/core/relay/read_ahead_budget_test.cc
+++ b/tests/unit/core/relay/read_ahead_budget_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What is held for callers that read slowly, and which of them is cut.
+/// The bytes that are buffered for callers that read slowly, and the order in which their readers
+/// are cancelled.
 #include <vector>
 
 #include <doctest/doctest.h>
@@ -8,22 +9,23 @@
 
 namespace workshatch::test {
 
-TEST_CASE("At the bound of the process the reader that holds most is cut, of equals the slowest") {
+TEST_CASE("Over the process limit the reader with the most buffered bytes is cancelled, among "
+          "equals the slowest") {
   relay::ReadAheadBudget read_ahead(relay::ReadAheadLimits{.process_bytes = 1000});
-  std::vector<int> cut;
+  std::vector<int> cancelled;
   std::vector<relay::ReadAheadBudget::Reader> readers;
   for (int i = 0; i < 3; ++i) {
-    readers.push_back(read_ahead.open([&cut, i] { cut.push_back(i); }));
+    readers.push_back(read_ahead.open([&cancelled, i] { cancelled.push_back(i); }));
   }
   read_ahead.update(readers[0], 400, 10);
   read_ahead.update(readers[1], 400, 5);
   read_ahead.update(readers[2], 200, 0);
   CHECK(read_ahead.bufferedBytes() == 1000);
-  CHECK(cut.empty());
+  CHECK(cancelled.empty());
   read_ahead.update(readers[2], 201, 0);
-  CHECK(cut == std::vector<int>{1});
+  CHECK(cancelled == std::vector<int>{1});
   CHECK(read_ahead.bufferedBytes() == 601);
-  // What the cut one still reports counts no more.
+  // Later updates for a cancelled reader are ignored.
   read_ahead.update(readers[1], 900, 5);
   CHECK(read_ahead.bufferedBytes() == 601);
   read_ahead.update(readers[0], 100, 310);
@@ -34,7 +36,7 @@
   CHECK(read_ahead.cancelledReaders() == 1);
 }
 
-TEST_CASE("A runner is read no further at the high mark of its caller") {
+TEST_CASE("Reading from a runner stops at the caller's high watermark") {
   const relay::ReadAheadBudget read_ahead(
       relay::ReadAheadLimits{.high_bytes = 100, .low_bytes = 50});
   CHECK_FALSE(read_ahead.isFull(99));
--- a/tests/unit/core/relay/relay_addresses_test.cc
+++ b/tests/unit/core/relay/relay_addresses_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Where callers are sent.
+/// The relay addresses that callers receive, how long they may cache them, and the count of silent
+/// relays.
 #include <set>
 #include <string>
 #include <vector>
@@ -42,14 +43,14 @@
   add(list, "c1", "c");
   const relay::AddressQuery of_b{.zone = "b", .own_address = "a1"};
   CHECK(relay::selectAddresses(list, kZones, of_b) == std::vector<std::string>{"b1", "c1"});
-  // A zone without relays that the settings do not name: the caller's word on its region counts.
+  // The settings do not contain this zone, so the region that the caller names counts.
   const relay::AddressQuery elsewhere{.zone = "d", .region = "west", .own_address = "a1"};
   CHECK(relay::selectAddresses(list, kZones, elsewhere) == std::vector<std::string>{"b1", "c1"});
   const relay::AddressQuery nowhere{.zone = "d", .own_address = "a1"};
   CHECK(relay::selectAddresses(list, kZones, nowhere).size() == 4);
 }
 
-TEST_CASE("A relay that is out of touch sends callers to the others, unless it knows of none") {
+TEST_CASE("A relay without a recent confirmation sends callers to the others, if there are any") {
   v1::RelayList list;
   add(list, "a1", "a");
   add(list, "a2", "a");
@@ -60,7 +61,7 @@
         std::vector<std::string>{"a1"});
 }
 
-TEST_CASE("Of many relays a bounded number is told, another for each draw") {
+TEST_CASE("Of many relays a limited number is returned, and the draw selects which") {
   v1::RelayList list;
   for (int i = 0; i < 300; ++i) {
     add(list, "r" + std::to_string(i), "a");
@@ -72,7 +73,7 @@
   CHECK(relay::selectAddresses(list, kZones, question) != first);
 }
 
-TEST_CASE("Callers keep addresses for longer while relays are silent") {
+TEST_CASE("Callers may cache addresses for longer while relays are silent") {
   const relay::AddressLifetimes lifetimes{.ordinary_s = 1, .degraded_s = 5};
   v1::RelayList list;
   add(list, "a1", "a");
@@ -81,7 +82,7 @@
   CHECK(relay::addressesLifetimeS(list, lifetimes) == 5);
 }
 
-TEST_CASE("A silent relay is counted until it is heard again, or for half a minute") {
+TEST_CASE("A silent relay is counted until it renews, for half a minute at most") {
   relay::SilentRelays silent;
   silent.recordSilent("a", 1'000);
   silent.recordSilent("b", 2'000);
--- a/tests/unit/core/relay/relay_monitor_test.cc
+++ b/tests/unit/core/relay/relay_monitor_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// How soon a relay that is gone is known to be, replayed for a thousand relays; and what the
-/// others are told then.
+/// Time until relays that lost power are detected, simulated for up to 2,000 relays, and the
+/// updates of the relay list that follow.
 #include <algorithm>
 #include <cstdint>
 #include <random>
@@ -17,10 +17,10 @@
 
 namespace {
 
-/// Relays that renew, ask one another, and sometimes stand still for a moment.
-class WatchedFleet {
+/// Simulates relays that renew, send requests to each other, and sometimes stall for a moment.
+class SimulatedFleet {
 public:
-  WatchedFleet(size_t relays, uint32_t seed)
+  SimulatedFleet(size_t relays, uint32_t seed)
       : period_ms_(relay::renewalPeriodForFleetMs(relay::kRenewalPeriodMs, relays)), random_(seed),
         relays_(relays) {
     for (Relay& relay : relays_) {
@@ -28,8 +28,9 @@
     }
   }
 
-  /// @param gone relays that lose power; @param from_ms when
-  void play(size_t gone, int64_t from_ms, int64_t until_ms) {
+  /// @param gone number of relays that lose power
+  /// @param from_ms when they lose power
+  void run(size_t gone, int64_t from_ms, int64_t until_ms) {
     for (int64_t now_ms = 0; now_ms < until_ms; now_ms += kStepMs) {
       for (size_t i = 0; i < relays_.size(); ++i) {
         step(i, i < gone && now_ms >= from_ms, now_ms);
@@ -37,44 +38,45 @@
       if (now_ms % kRefreshMs != 0) {
         continue;
       }
-      for (const std::string& name : watch_.takeSilent(period_ms_, now_ms)) {
+      for (const std::string& name : monitor_.takeSilent(period_ms_, now_ms)) {
         Relay& relay = relays_[std::stoul(name)];
-        relay.dropped_ms = relay.dropped_ms < 0 ? now_ms - from_ms : relay.dropped_ms;
+        relay.detected_after_ms =
+            relay.detected_after_ms < 0 ? now_ms - from_ms : relay.detected_after_ms;
       }
     }
   }
 
-  /// Milliseconds until the relays that are gone were known to be, the quickest first; those never
-  /// known count as `never`.
-  std::vector<int64_t> timesToKnow(size_t gone, int64_t never) const {
+  /// @return the times until the relays that are gone were detected, in milliseconds and ascending
+  /// order; `never` for those that were not detected.
+  std::vector<int64_t> detectionTimes(size_t gone, int64_t never) const {
     std::vector<int64_t> times;
     for (size_t i = 0; i < gone; ++i) {
-      times.push_back(relays_[i].dropped_ms < 0 ? never : relays_[i].dropped_ms);
+      times.push_back(relays_[i].detected_after_ms < 0 ? never : relays_[i].detected_after_ms);
     }
     std::sort(times.begin(), times.end());
     return times;
   }
-  size_t wronglyDropped(size_t gone) const {
+  size_t falseDetections(size_t gone) const {
     return static_cast<size_t>(
         std::count_if(relays_.begin() + static_cast<ptrdiff_t>(gone), relays_.end(),
-                      [](const Relay& relay) { return relay.dropped_ms >= 0; }));
+                      [](const Relay& relay) { return relay.detected_after_ms >= 0; }));
   }
-  size_t asked() const { return asked_; }
+  size_t renewalsRequested() const { return renewals_requested_; }
 
 private:
   static constexpr int64_t kStepMs = 10;
   static constexpr int64_t kRefreshMs = 300;
-  /// Questions of a relay to others in a second.
-  static constexpr double kAsksPerSecond = 2;
-  /// A relay stands still for some 200 ms, once in ten seconds.
+  /// Requests of a relay to other relays per second.
+  static constexpr double kRequestsPerSecond = 2;
+  /// A relay stalls for some 200 ms, once in ten seconds.
   static constexpr int64_t kStallMs = 200;
   static constexpr int64_t kBetweenStallsMs = 10'000;
 
   struct Relay {
     int64_t next_renewal_ms = 0;
     int64_t stalled_until_ms = 0;
-    int64_t dropped_ms = -1;
-    bool asked_to_renew = false;
+    int64_t detected_after_ms = -1;
+    bool renewal_requested = false;
   };
 
   int64_t below(int64_t bound) {
@@ -93,30 +95,30 @@
     if (relay.stalled_until_ms > now_ms) {
       return;
     }
-    if (now_ms >= relay.next_renewal_ms || relay.asked_to_renew) {
-      relay.asked_to_renew = false;
+    if (now_ms >= relay.next_renewal_ms || relay.renewal_requested) {
+      relay.renewal_requested = false;
       relay.next_renewal_ms = now_ms + period_ms_;
-      watch_.recordRenewal(std::to_string(number), now_ms);
+      monitor_.recordRenewal(std::to_string(number), now_ms);
     }
-    if (std::bernoulli_distribution(kAsksPerSecond * kStepMs / 1000)(random_)) {
-      askAnother(now_ms);
+    if (std::bernoulli_distribution(kRequestsPerSecond * kStepMs / 1000)(random_)) {
+      sendRequest(now_ms);
     }
   }
 
-  void askAnother(int64_t now_ms) {
+  void sendRequest(int64_t now_ms) {
     const auto other = static_cast<size_t>(below(static_cast<int64_t>(relays_.size())));
     const bool silent = relays_[other].stalled_until_ms > now_ms;
-    if (silent && watch_.reportUnanswered(std::to_string(other), now_ms)) {
-      ++asked_;
-      relays_[other].asked_to_renew = true;
+    if (silent && monitor_.reportUnanswered(std::to_string(other), now_ms)) {
+      ++renewals_requested_;
+      relays_[other].renewal_requested = true;
     }
   }
 
   const int64_t period_ms_;
   std::mt19937 random_;
-  relay::RelayMonitor watch_;
+  relay::RelayMonitor monitor_;
   std::vector<Relay> relays_;
-  size_t asked_ = 0;
+  size_t renewals_requested_ = 0;
 };
 
 v1::RelayList relaysNamed(size_t from, size_t until) {
@@ -132,43 +134,42 @@
 
 } // namespace
 
-TEST_CASE("Relays that lose power are known within two seconds among a thousand, and no others") {
+TEST_CASE("Half of the relays that lose power are detected within two seconds, and no others are") {
   constexpr int64_t kNever = 60'000;
   for (const size_t relays : {300, 1000, 2000}) {
     for (uint32_t seed = 1; seed <= 3; ++seed) {
       CAPTURE(relays);
       CAPTURE(seed);
       const size_t gone = relays / 5;
-      WatchedFleet fleet(relays, seed);
-      fleet.play(gone, 5000, 12'000);
-      const std::vector<int64_t> times = fleet.timesToKnow(gone, kNever);
+      SimulatedFleet fleet(relays, seed);
+      fleet.run(gone, 5000, 12'000);
+      const std::vector<int64_t> times = fleet.detectionTimes(gone, kNever);
       CHECK(times[gone / 2] <= 2000);
       CHECK(times[gone * 95 / 100] <= 4500);
-      CHECK(fleet.wronglyDropped(gone) == 0);
-      // A question to a relay that answers another late costs one renewal.
-      CHECK(fleet.asked() <= gone + relays);
+      CHECK(fleet.falseDetections(gone) == 0);
+      // A relay that is only late with an answer is asked for one renewal.
+      CHECK(fleet.renewalsRequested() <= gone + relays);
     }
   }
 }
 
-TEST_CASE(
-    "A change of the list of a thousand relays travels in a few bytes for each that changed") {
+TEST_CASE("An update of the list of a thousand relays takes a few bytes for each changed relay") {
   relay::RelayListHistory history;
   REQUIRE(history.set(relaysNamed(0, 1000), 1));
   CHECK_FALSE(history.set(relaysNamed(0, 1000), 2));
   REQUIRE(history.set(relaysNamed(200, 1000), 3));
-  const v1::RelayListUpdate went = history.updateFrom(1);
-  CHECK(went.ByteSizeLong() <= 2 * 200 + 50);
+  const v1::RelayListUpdate removal = history.updateFrom(1);
+  CHECK(removal.ByteSizeLong() <= 2 * 200 + 50);
   REQUIRE(history.set(relaysNamed(0, 1000), 4));
-  const v1::RelayListUpdate came = history.updateFrom(3);
-  CHECK(came.ByteSizeLong() <= 12 * 200);
+  const v1::RelayListUpdate addition = history.updateFrom(3);
+  CHECK(addition.ByteSizeLong() <= 12 * 200);
   CHECK(history.updateFrom(1).ByteSizeLong() <= 50);
 }
 
-TEST_CASE("Lists of relays after updates are those that the leader has") {
+TEST_CASE("After an update a relay's list equals the leader's") {
   std::mt19937 random(9);
   relay::RelayListHistory history;
-  v1::RelayList held;
+  v1::RelayList relay_list;
   uint64_t version = 0;
   for (int step = 0; step < 200; ++step) {
     v1::RelayList list;
@@ -182,18 +183,18 @@
     if (random() % 3 == 0) {
       continue;
     }
-    const auto applied = relay::applyUpdate(held, history.updateFrom(held.version()));
+    const auto applied = relay::applyUpdate(relay_list, history.updateFrom(relay_list.version()));
     REQUIRE_FALSE(isError(applied));
-    held = std::get<v1::RelayList>(applied);
-    CHECK(held.SerializeAsString() == history.newest().SerializeAsString());
+    relay_list = std::get<v1::RelayList>(applied);
+    CHECK(relay_list.SerializeAsString() == history.newest().SerializeAsString());
   }
   v1::RelayListUpdate other;
   other.set_version(99);
   other.set_base_version(98);
-  CHECK(isError(relay::applyUpdate(held, other)));
-  other.set_base_version(held.version());
+  CHECK(isError(relay::applyUpdate(relay_list, other)));
+  other.set_base_version(relay_list.version());
   other.add_removed(1000);
-  CHECK(isError(relay::applyUpdate(held, other)));
+  CHECK(isError(relay::applyUpdate(relay_list, other)));
 }
 
 } // namespace workshatch::test
--- a/tests/unit/core/relay/retry_budget_test.cc
+++ b/tests/unit/core/relay/retry_budget_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The budget of repeats: one relay's share, and what all relays together spend in any window.
+/// The retry budget: one relay's share, and what all relays together spend in any window.
 #include <algorithm>
 #include <cstdint>
 #include <memory>
@@ -29,7 +29,7 @@
   return taken;
 }
 
-/// Relays whose every request is declined everywhere, so that each spends all that it may.
+/// Relays whose requests are all declined, so that each spends its whole share.
 struct DecliningFleet {
   explicit DecliningFleet(uint32_t seed) : random(seed) {}
 
@@ -40,8 +40,8 @@
     return std::make_unique<relay::RetryBudget>(options);
   }
   void join() { relays.push_back(start()); }
-  /// A relay hears of the present number some time after it changed, or not for long.
-  void tellSome(int64_t now_ms) {
+  /// Relays receive a changed number of relays late, or not for a long time.
+  void updateSome(int64_t now_ms) {
     for (size_t i = 0; i < relays.size(); ++i) {
       if (below(4) == 0) {
         relays[i]->setRelays(relays.size(), now_ms);
@@ -63,21 +63,22 @@
         request_times.push_back(now_ms);
       }
       const int taken = takeAll(*budget, now_ms);
-      repeat_times.insert(repeat_times.end(), static_cast<size_t>(taken), now_ms);
+      retry_times.insert(retry_times.end(), static_cast<size_t>(taken), now_ms);
     }
   }
-  /// @return the most repeats over the bound, in any sliding window.
+  /// @return the largest number of retries over the bound in any sliding window; negative if always
+  /// below it.
   double worstExcess() const {
     double worst = -slack;
     size_t first = 0;
-    for (size_t last = 0; last < repeat_times.size(); ++last) {
-      while (repeat_times[first] <= repeat_times[last] - kWindowMs) {
+    for (size_t last = 0; last < retry_times.size(); ++last) {
+      while (retry_times[first] <= retry_times[last] - kWindowMs) {
         ++first;
       }
       const auto begin = std::upper_bound(request_times.begin(), request_times.end(),
-                                          repeat_times[last] - kWindowMs);
+                                          retry_times[last] - kWindowMs);
       const auto end =
-          std::upper_bound(request_times.begin(), request_times.end(), repeat_times[last]);
+          std::upper_bound(request_times.begin(), request_times.end(), retry_times[last]);
       const double allowed = kRatio * static_cast<double>(end - begin) + slack;
       worst = std::max(worst, static_cast<double>(last - first + 1) - allowed);
     }
@@ -88,28 +89,28 @@
   double slack = 60;
   std::vector<std::unique_ptr<relay::RetryBudget>> relays;
   std::vector<int64_t> request_times;
-  std::vector<int64_t> repeat_times;
+  std::vector<int64_t> retry_times;
 };
 
 } // namespace
 
-TEST_CASE("A relay earns repeats by its requests and has an equal share of the slack") {
+TEST_CASE("A relay earns retries by its requests and has an equal share of the slack") {
   relay::RetryBudget budget(optionsWithSlack(20));
   budget.setRelays(2, 0);
   for (int i = 0; i < 51; ++i) {
     budget.recordRequest("s", 0);
   }
-  // 0.7 of 10.2 earned; the slack has yet to accrue.
+  // 0.7 of the 10.2 retries earned; none of the slack has accrued yet.
   CHECK(takeAll(budget, 0) == 7);
-  // 0.7 of half of 10 of the slack after a window; the requests count no more.
+  // 0.7 of half of this relay's 10 of the slack after a window; the requests do not count any more.
   CHECK(takeAll(budget, 1000) == 3);
   CHECK_FALSE(budget.takeRetry("s", 1100));
   CHECK(budget.takeRetry("other", 1100));
-  // No more than that is saved up.
+  // No more than this is saved up.
   CHECK(takeAll(budget, 9000) == 3);
 }
 
-TEST_CASE("A relay that does not know how many there are spends no slack") {
+TEST_CASE("A relay that does not know the number of relays spends none of the slack") {
   relay::RetryBudget budget(optionsWithSlack(1000));
   CHECK_FALSE(budget.takeRetry("s", 50'000));
   budget.setRelays(1, 50'000);
@@ -117,7 +118,7 @@
   CHECK(budget.takeRetry("s", 50'100));
 }
 
-TEST_CASE("The share of relays that went is taken over a window later") {
+TEST_CASE("The share of relays that left is available to the others a window later") {
   relay::RetryBudget budget(optionsWithSlack(200));
   budget.setRelays(10, 0);
   CHECK(takeAll(budget, 1000) == 7);
@@ -127,72 +128,72 @@
   CHECK(takeAll(budget, 3000) == 70);
 }
 
-TEST_CASE(
-    "A thousand relays repeat what fails now and then, though each one's share is below one") {
-  // Load pattern: a service with few requests at each relay. 0.25 requests a second and relay,
-  // three in ten may be repeated, and one in seven fails; the budget is far from spent.
+TEST_CASE("A thousand relays retry occasional failures although each has a share of less than one "
+          "retry") {
+  // Load pattern: a service with few requests at each relay: 0.25 requests per second and relay, of
+  // which three in ten may be retried and one in seven fails, so that the budget is far from spent.
   constexpr size_t kRelays = 1000;
   constexpr int64_t kLongWindowMs = 10'000;
   constexpr int64_t kStepMs = 50;
   constexpr int64_t kLastMs = 40'000;
   std::mt19937 random(5);
-  std::uniform_real_distribution<double> part(0, 1);
+  std::uniform_real_distribution<double> uniform(0, 1);
   std::vector<relay::RetryBudget> relays;
   for (size_t i = 0; i < kRelays; ++i) {
     relays.emplace_back(relay::RetryBudgetOptions{
-        .ratio = kRatio, .window_ms = kLongWindowMs, .slack = 1040, .draw = part(random)});
+        .ratio = kRatio, .window_ms = kLongWindowMs, .slack = 1040, .draw = uniform(random)});
     relays.back().setRelays(kRelays, 0);
   }
-  size_t wanted = 0;
+  size_t needed = 0;
   size_t allowed = 0;
   for (int64_t now_ms = 0; now_ms < kLastMs; now_ms += kStepMs) {
     const bool settled = now_ms >= kLongWindowMs;
     for (relay::RetryBudget& budget : relays) {
-      if (part(random) >= 0.25 * static_cast<double>(kStepMs) / 1000) {
+      if (uniform(random) >= 0.25 * static_cast<double>(kStepMs) / 1000) {
         continue;
       }
       budget.recordRequest("s", now_ms);
-      const bool repeatable = part(random) < 0.3;
-      if (repeatable && part(random) < 1.0 / 7) {
+      const bool repeatable = uniform(random) < 0.3;
+      if (repeatable && uniform(random) < 1.0 / 7) {
         const bool taken = budget.takeRetry("s", now_ms);
-        wanted += settled ? 1 : 0;
+        needed += settled ? 1 : 0;
         allowed += settled && taken ? 1 : 0;
       }
     }
   }
-  CHECK(wanted > 250);
-  CHECK(static_cast<double>(allowed) >= 0.9 * static_cast<double>(wanted));
+  CHECK(needed > 250);
+  CHECK(static_cast<double>(allowed) >= 0.9 * static_cast<double>(needed));
 }
 
-TEST_CASE("A thousand relays whose every request fails stay inside the budget") {
+TEST_CASE("A thousand relays whose requests all fail stay within the budget") {
   constexpr size_t kRelays = 1000;
   constexpr int64_t kLongWindowMs = 10'000;
   constexpr double kSlack = 1040;
-  for (const double relays_told : {1000.0, 800.0}) {
+  for (const double reported_relays : {1000.0, 800.0}) {
     for (uint32_t seed = 1; seed <= 10; ++seed) {
       std::mt19937 random(seed);
-      std::uniform_real_distribution<double> part(0, 1);
+      std::uniform_real_distribution<double> uniform(0, 1);
       size_t requests = 0;
-      size_t repeats = 0;
+      size_t retries = 0;
       for (size_t i = 0; i < kRelays; ++i) {
         relay::RetryBudget budget(relay::RetryBudgetOptions{
-            .ratio = kRatio, .window_ms = kLongWindowMs, .slack = kSlack, .draw = part(random)});
-        budget.setRelays(static_cast<size_t>(relays_told), 0);
+            .ratio = kRatio, .window_ms = kLongWindowMs, .slack = kSlack, .draw = uniform(random)});
+        budget.setRelays(static_cast<size_t>(reported_relays), 0);
         for (int64_t now_ms = kLongWindowMs; now_ms < 2 * kLongWindowMs; now_ms += 100) {
-          if (part(random) < 0.025) {
+          if (uniform(random) < 0.025) {
             budget.recordRequest("s", now_ms);
             ++requests;
           }
-          repeats += budget.takeRetry("s", now_ms) ? 1 : 0;
+          retries += budget.takeRetry("s", now_ms) ? 1 : 0;
         }
       }
-      CHECK(static_cast<double>(repeats) <= kRatio * static_cast<double>(requests) + kSlack);
+      CHECK(static_cast<double>(retries) <= kRatio * static_cast<double>(requests) + kSlack);
     }
   }
 }
 
 TEST_CASE(
-    "All relays together stay inside the budget in every window, through restarts and joins") {
+    "All relays together stay within the budget in every window, through restarts and joins") {
   for (uint32_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     DecliningFleet fleet(seed);
@@ -203,7 +204,7 @@
     constexpr int64_t kStepMs = 20;
     constexpr int64_t kLastMs = 6000;
     for (int64_t now_ms = kStepMs; now_ms <= kLastMs; now_ms += kStepMs) {
-      fleet.tellSome(now_ms);
+      fleet.updateSome(now_ms);
       if (fleet.below(20) == 0) {
         fleet.restartSome();
       }
--- a/tests/unit/core/relay/slot_limits_test.cc
+++ b/tests/unit/core/relay/slot_limits_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// How full a runner may be for a request.
+/// The number of requests in progress up to which a runner accepts a request.
 #include <initializer_list>
 #include <limits>
 
@@ -13,7 +13,7 @@
 using relay::slotLimit;
 using relay::SlotLimitOptions;
 
-TEST_CASE("The last places of an engine are kept for the more urgent requests") {
+TEST_CASE("The last slots of an engine are reserved for more urgent requests") {
   const SlotLimitOptions options;
   CHECK(slotLimit(options, 48, true, RequestRank{.priority = 0, .draw = 1}) == 48);
   CHECK(slotLimit(options, 48, true, RequestRank{.priority = 1, .draw = 1}) == 45);
@@ -22,7 +22,7 @@
         38);
 }
 
-TEST_CASE("Nothing is kept from more than half of the places") {
+TEST_CASE("Every request may use more than half of the slots") {
   const SlotLimitOptions options;
   for (uint32_t priority = 0; priority <= 9; ++priority) {
     for (const bool over_share : {false, true}) {
@@ -37,15 +37,15 @@
 
 TEST_CASE("A few requests of each priority count as the most urgent") {
   const SlotLimitOptions options;
-  int as_urgent = 0;
+  int promoted = 0;
   for (uint64_t draw = 0; draw < 800; ++draw) {
     const uint32_t limit = slotLimit(options, 48, true, RequestRank{.priority = 9, .draw = draw});
-    as_urgent += limit == 48 ? 1 : 0;
+    promoted += limit == 48 ? 1 : 0;
   }
-  CHECK(as_urgent == 100);
+  CHECK(promoted == 100);
 }
 
-TEST_CASE("A plain service may have a short queue; unknown places are no limit") {
+TEST_CASE("A plain service may have a short queue; an unknown number of slots sets no limit") {
   const SlotLimitOptions options;
   CHECK(slotLimit(options, 6, false, RequestRank{}) == 18);
   CHECK(slotLimit(options, 0, true, RequestRank{}) == std::numeric_limits<uint32_t>::max());
--- a/tests/unit/core/relay/text_patch_test.cc
+++ b/tests/unit/core/relay/text_patch_test.cc
@@ -37,7 +37,7 @@
   CHECK(patch.pieces.ByteSizeLong() < 200);
 }
 
-TEST_CASE("Without a base the patch is the text") {
+TEST_CASE("Without a base the patch contains the whole text") {
   const std::string target = routesText(3, 1);
   const relay::TextPatch patch = relay::makePatch("", target);
   CHECK(patch.literals == target);
@@ -46,7 +46,7 @@
   CHECK(applied("x}y", relay::makePatch("x}y", "")).empty());
 }
 
-TEST_CASE("A patch for another base is an error, not another text") {
+TEST_CASE("Applying a patch to another base is an error") {
   const relay::TextPatch patch = relay::makePatch(routesText(5, 1), routesText(6, 2));
   std::string other = routesText(5, 1);
   other.replace(other.find("\"r3\""), 4, "\"rx\"");
@@ -54,9 +54,9 @@
   CHECK(isError(relay::applyPatch("", patch)));
 }
 
-TEST_CASE("Any two texts have a patch that makes one of the other") {
+TEST_CASE("A patch between any two texts produces the target") {
   SeededRandom random(11);
-  const auto any_text = [&random] {
+  const auto random_text = [&random] {
     std::string text;
     const uint64_t length = random.below(60);
     for (uint64_t i = 0; i < length; ++i) {
@@ -65,8 +65,8 @@
     return text;
   };
   for (int i = 0; i < 2000; ++i) {
-    const std::string base = any_text();
-    const std::string target = any_text();
+    const std::string base = random_text();
+    const std::string target = random_text();
     CHECK(applied(base, relay::makePatch(base, target)) == target);
   }
 }
--- a/tests/unit/core/relay/work_time_test.cc
+++ b/tests/unit/core/relay/work_time_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Runners that share their machines, replayed: what their figures of how long work takes are worth
-/// for the choice of a runner, and what an untrue figure costs.
+/// Simulates runners that share their machines: what the work time factors that they report gain in
+/// the choice of a runner, and what an untrue factor costs.
 #include <algorithm>
 #include <cstdint>
 #include <memory>
@@ -20,11 +20,11 @@
 constexpr int64_t kWorkMs = 60;
 constexpr double kSlowFactor = 2.5;
 
-/// One relay's requests at a plain service whose runners turn slow by turns.
+/// Simulates one relay's requests at a plain service whose runners become slow in turn.
 class SharedMachines {
 public:
-  SharedMachines(size_t runners, bool figures_told, double told_times, uint32_t seed)
-      : figures_told_(figures_told), told_times_(told_times), random_(seed) {
+  SharedMachines(size_t runners, bool factors_reported, double report_multiplier, uint32_t seed)
+      : factors_reported_(factors_reported), report_multiplier_(report_multiplier), random_(seed) {
     for (size_t i = 0; i < runners; ++i) {
       auto runner = std::make_shared<relay::Runner>();
       runner->entry.set_id("r" + std::to_string(i));
@@ -34,13 +34,14 @@
     }
   }
 
-  /// @param liar this runner alone tells an untrue figure; past the end: none does
+  /// @param false_reporter the only runner that reports an untrue factor; an index past the end:
+  /// none
   /// @return the mean time that a request takes.
-  double play(double requests_per_s, int64_t until_ms, size_t liar) {
+  double run(double requests_per_s, int64_t until_ms, size_t false_reporter) {
     double total = 0;
     size_t requests = 0;
     for (int64_t now_ms = 1; now_ms < until_ms; ++now_ms) {
-      turnSlow(now_ms);
+      updateSlowRunners(now_ms);
       if (!std::bernoulli_distribution(requests_per_s / 1000)(random_)) {
         continue;
       }
@@ -52,56 +53,58 @@
       const double factor = slow_until_ms_[chosen] > now_ms ? kSlowFactor : 1;
       total += static_cast<double>(kWorkMs) * factor;
       ++requests;
-      if (figures_told_) {
-        const double told = chosen == liar ? factor * told_times_ : factor;
-        relay::recordWorkTime(*runners_[chosen], told, now_ms);
+      if (factors_reported_) {
+        const double reported = chosen == false_reporter ? factor * report_multiplier_ : factor;
+        relay::recordWorkTime(*runners_[chosen], reported, now_ms);
       }
     }
     return total / static_cast<double>(requests);
   }
 
 private:
-  /// Each runner is slow for 0.15 of the time, for some 600 ms at a stretch.
-  void turnSlow(int64_t now_ms) {
+  /// Each runner is slow for 0.15 of the time, in periods of some 600 ms.
+  void updateSlowRunners(int64_t now_ms) {
     constexpr int64_t kSlowMs = 600;
-    constexpr double kTurnsPerMs = 0.15 / 0.85 / kSlowMs;
+    constexpr double kSlowPeriodsPerMs = 0.15 / 0.85 / kSlowMs;
     for (int64_t& until_ms : slow_until_ms_) {
-      if (until_ms <= now_ms && std::bernoulli_distribution(kTurnsPerMs)(random_)) {
+      if (until_ms <= now_ms && std::bernoulli_distribution(kSlowPeriodsPerMs)(random_)) {
         until_ms = now_ms + kSlowMs;
       }
     }
   }
 
-  const bool figures_told_;
-  const double told_times_;
+  const bool factors_reported_;
+  const double report_multiplier_;
   std::mt19937 random_;
   std::vector<std::shared_ptr<relay::Runner>> runners_;
   std::vector<int64_t> slow_until_ms_;
 };
 
-constexpr size_t kNoLiar = 100;
+constexpr size_t kNoFalseReporter = 100;
 
-double meanTime(bool figures_told, double requests_per_s, size_t liar = kNoLiar,
-                double told_times = 1) {
+double meanTime(bool factors_reported, double requests_per_s,
+                size_t false_reporter = kNoFalseReporter, double report_multiplier = 1) {
   constexpr size_t kRunners = 6;
-  constexpr int64_t kPlayMs = 200'000;
-  return SharedMachines(kRunners, figures_told, told_times, 7).play(requests_per_s, kPlayMs, liar);
+  constexpr int64_t kRunMs = 200'000;
+  return SharedMachines(kRunners, factors_reported, report_multiplier, 7)
+      .run(requests_per_s, kRunMs, false_reporter);
 }
 
 } // namespace
 
-TEST_CASE("Runners that say that their work takes longer get fewer requests where that is known") {
-  // A relay that sees a runner often enough for its figure to be of now.
+TEST_CASE("Runners that report longer work times get fewer requests while the reports are recent") {
+  // The relay uses each runner often enough for its factor to be recent.
   CHECK(meanTime(true, 60) < 0.95 * meanTime(false, 60));
-  // One that sees it every few seconds has nothing to go by, and loses nothing.
+  // The relay uses each runner only every few seconds: it has no recent factors, and loses nothing
+  // by that.
   CHECK(meanTime(true, 1) < 1.03 * meanTime(false, 1));
 }
 
-TEST_CASE("A runner that says that it is ten times as quick as it is gains nothing by it") {
+TEST_CASE("A runner that reports to be ten times as fast as it is gains nothing") {
   CHECK(meanTime(true, 60, 0, 0.1) <= 1.02 * meanTime(false, 60));
 }
 
-TEST_CASE("A figure counts for a second, within bounds") {
+TEST_CASE("A factor is valid for a second and is bounded") {
   relay::Runner runner;
   CHECK(relay::workTimeFactor(runner, 10) == 1);
   relay::recordWorkTime(runner, 3, 10);
