--- a/src/core/relay/cold_runners.h
+++ b/src/core/relay/cold_runners.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which runners are cold, as one relay knows it, and how many requests a cold one may get.
+/// Tracks at one relay which runners are cold, and limits the rate of requests to them.
 #pragma once
 
 #include <cstdint>
@@ -13,38 +13,39 @@
 
 namespace workshatch::relay {
 
-/// A runner is cold for some seconds after its start: it bears few requests a second then and falls
-/// over at more. Load pattern: a third of the runners come back at once, each the home of prompts
-/// that wait for it, so that all relays turn to them in the same moment.
+/// Tracks cold runners. A runner is cold for some seconds after its start: its sustainable request
+/// rate is low then, and it fails at a higher one. Load pattern: a third of the runners come back
+/// at once, each of them the home of prompts that are waiting for it, so that all relays send
+/// requests to them at the same moment.
 ///
-/// A runner counts as cold by the list, for as long as that says; when it comes into the list while
-/// this relay runs; after its process was gone; and after an evacuation of its zone has ended. One
-/// that fails or declines requests while it runs is not cold: at twice the traffic and with two
-/// thirds of the engines left, an engine takes more requests a second than a cold one may get, and
-/// must not lose its share for one late answer.
+/// A runner counts as cold for the time that the list states; when it is added to the list while
+/// this relay runs; after its process was gone; and after an evacuation of its zone has ended. A
+/// runner that fails or declines requests while it runs does not count as cold: at twice the
+/// traffic and with two thirds of the engines left, an engine gets more requests per second than a
+/// cold one may get, and one late response must not cost it this share.
 ///
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
 class ColdRunners {
 public:
-  /// @param factor, slack what bounds the requests of a second (settings `cold_factor` and
+  /// @param factor, slack limit of the requests per second (settings `cold_factor` and
   /// `cold_slack`)
   ColdRunners(double factor, double slack) : factor_(factor), slack_(slack) {}
 
-  /// Takes what the services say of their cold runners.
+  /// Sets the services' limits for their cold runners.
   void setServices(const std::vector<Service>& services);
 
-  /// Notes that the list says how long the runner stays cold.
+  /// Records that the runner was reported to be cold for another `cold_ms`.
   void recordReportedCold(Runner& runner, uint32_t cold_ms, int64_t now_ms) const;
-  /// Notes that the runner's process has started, or may have: it came into the list, refused a
-  /// connection, or its zone is taken back into use.
+  /// Records that the runner's process has started, or may have: the runner was added to the list,
+  /// its address refused a connection, or its zone is no longer evacuated.
   void recordProcessStart(Runner& runner, int64_t now_ms) const;
 
-  /// Milliseconds for which the runner counts as cold; zero: it is not, or bears what a warm one
-  /// does.
+  /// @return milliseconds for which the runner is still cold; zero: it is not, or its service has
+  /// no limit for cold runners.
   uint32_t coldMs(const Runner& runner, int64_t now_ms) const;
 
-  /// @return how many requests a cold runner of the service may get; unlimited where it is not
-  /// told.
+  /// @return limit on the requests to a cold runner of the service; unlimited if none is
+  /// configured.
   RateLimit paceLimitFor(const std::string& service) const;
 
 private:
@@ -55,7 +56,7 @@
 
   const double factor_;
   const double slack_;
-  /// Services whose cold runners bear less than warm ones.
+  /// Services with a limit for cold runners.
   std::map<std::string, ColdCapacity> services_;
 };
 
--- a/src/core/relay/completed_requests.cc
+++ b/src/core/relay/completed_requests.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Several times the longest request, so that a request which is asked for again and again is
-/// always known.
+/// Several times the duration of the longest request, so that a request which is repeated
+/// continuously is always known.
 constexpr int64_t kPeriodMs = 30'000;
-/// A relay of 10 requests a second sees some 300 in a period; 4,096 take some 250 kB.
+/// A relay with 10 requests per second sees some 300 in a period; 4,096 take some 250 kB.
 constexpr size_t kMaxInPeriod = 4096;
 
 } // namespace
@@ -18,7 +18,7 @@
   if (now_ms - period_began_ms_ < kPeriodMs && newer_.size() < kMaxInPeriod) {
     return;
   }
-  // After a long pause the newer ones are old as well.
+  // After a long pause the newer generation has expired as well.
   const bool both_old = now_ms - period_began_ms_ >= 2 * kPeriodMs;
   older_ = both_old ? std::set<RequestIdentity>() : std::exchange(newer_, {});
   newer_.clear();
--- a/src/core/relay/completed_requests.h
+++ b/src/core/relay/completed_requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that a runner has run whole lately.
+/// Requests that were completed recently.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace workshatch::relay {
 
-/// Remembers requests that were answered with success, for 30 to 60 seconds.
+/// Remembers requests for 30 to 60 seconds after a successful response.
 ///
-/// Load pattern: clients that ask the same thing every few seconds have it in progress on many
+/// Load pattern: clients that repeat a request every few seconds have it in progress on many
 /// runners at any moment. When several runners lose power together, that request was running on
-/// each of them; what clears it is that it ran whole before.
+/// each of them; its earlier completion clears it.
 ///
-/// Memory is bounded however many different requests come: many new ones push old ones out, which
-/// takes their protection away and nothing else.
-/// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
+/// Memory is bounded for any number of different requests: many new requests evict old ones, which
+/// then only lose this protection. Times are milliseconds of the monotonic clock. Not safe for
+/// concurrent use.
 class CompletedRequests {
 public:
   void record(const RequestIdentity& request, int64_t now_ms);
@@ -26,7 +26,7 @@
 private:
   void rotate(int64_t now_ms);
 
-  /// Those of the present period, and of the one before.
+  /// Requests of the present period, and of the one before.
   std::set<RequestIdentity> newer_;
   std::set<RequestIdentity> older_;
   int64_t period_began_ms_ = 0;
--- a/src/core/relay/load_totals.cc
+++ b/src/core/relay/load_totals.cc
@@ -45,15 +45,15 @@
 }
 
 v1::RunnerLoads LoadTotals::totals() const {
-  v1::RunnerLoads sums;
-  sums.set_list_version(list_version_);
-  setCounts(sums, counts_);
+  v1::RunnerLoads totals;
+  totals.set_list_version(list_version_);
+  setCounts(totals, counts_);
   for (const auto& [position, relays] : suspicions_) {
     if (relays >= kMinSuspectingRelays) {
-      sums.add_suspects(position);
+      totals.add_suspects(position);
     }
   }
-  return sums;
+  return totals;
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/placement.cc
+++ b/src/core/relay/placement.cc
@@ -10,7 +10,7 @@
 
 using Candidates = std::vector<std::shared_ptr<Runner>>;
 
-/// Finalizer of MurmurHash3: nearby numbers give unrelated ones.
+/// Finalizer of MurmurHash3: maps nearby numbers to unrelated ones.
 uint64_t mixBits(uint64_t number) {
   number = (number ^ (number >> 33U)) * 0xff51afd7ed558ccdU;
   number = (number ^ (number >> 33U)) * 0xc4ceb9fe1a85ec53U;
@@ -23,28 +23,29 @@
 
 uint32_t fullLimit(const PlacementOptions& options, const PlacementQuery& query,
                    const Runner& runner) {
-  return slotLimit(options.places, runner.entry.slots(), query.engine, query.rank);
+  return slotLimit(options.slot_limits, runner.entry.slots(), query.engine, query.rank);
 }
 
-/// Up to the load cap, or somewhat over the places.
+/// Load limit of a home: the load cap, or `home_slack` over the slots that it can serve at its
+/// present speed, whichever is lower.
 uint32_t homeLimit(const PlacementOptions& options, const PlacementQuery& query,
                    const Runner& runner) {
-  const uint32_t places = runner.entry.slots();
-  if (places == 0) {
+  const uint32_t slots = runner.entry.slots();
+  if (slots == 0) {
     return capped(query, fullLimit(options, query, runner));
   }
-  const double served = places / workTimeFactor(runner, query.now_ms);
+  const double served = slots / workTimeFactor(runner, query.now_ms);
   return capped(query, static_cast<uint32_t>(served) + options.home_slack);
 }
 
-/// Time that a request is expected to take, in times of an idle runner's work.
+/// Expected duration of a request, as a multiple of its duration on an idle runner.
 double expectedTime(const PlacementQuery& query, const Runner& runner) {
   return (runner.load() + 1) * workTimeFactor(runner, query.now_ms);
 }
 
-/// @param lot differs from draw to draw of one request
-/// @return of two runners drawn by lot from those after the first `homes`, the one where a request
-/// is expected to take less time.
+/// @param attempt number of the draw for this request, so that each draw differs
+/// @return of two runners drawn at random from those after the first `homes`, the one where a
+/// request is expected to take less time.
 std::shared_ptr<Runner> chooseOfTwoRandom(const PlacementQuery& query, size_t homes,
                                           uint64_t attempt) {
   const size_t count = query.candidates.size() - homes;
@@ -55,7 +56,7 @@
   return expectedTime(query, *second) < expectedTime(query, *first) ? second : first;
 }
 
-/// On a busy service: few homes, each up to its places.
+/// Offer for a prompt while the service is busy: few homes, each up to its full slot limit.
 std::optional<SlotOffer> offerBusyHome(const PlacementOptions& options,
                                        const PlacementQuery& query) {
   const size_t homes = std::min(options.busy_homes, query.candidates.size());
@@ -68,7 +69,8 @@
                    .passed_over = static_cast<uint32_t>(query.refused)};
 }
 
-/// The homes up to the load cap, one runner drawn by lot, then the first homes up to their places.
+/// Offer for a prompt while the service is not busy: the homes up to the load cap, then one
+/// randomly drawn runner, then the first homes again up to their full slot limit.
 std::optional<SlotOffer> offerHome(const PlacementOptions& options, const PlacementQuery& query) {
   const size_t homes = std::min(options.homes, query.candidates.size());
   if (query.refused < homes) {
@@ -84,28 +86,29 @@
                      .limit = capped(query, fullLimit(options, query, *runner)),
                      .passed_over = static_cast<uint32_t>(homes)};
   }
-  const size_t again = query.refused - homes - drawn;
-  if (again >= std::min(options.homes_retried, homes)) {
+  const size_t retry = query.refused - homes - drawn;
+  if (retry >= std::min(options.homes_retried, homes)) {
     return std::nullopt;
   }
-  const auto& home = query.candidates[again];
+  const auto& home = query.candidates[retry];
   return SlotOffer{.runner = home,
                    .limit = fullLimit(options, query, *home),
-                   .passed_over = static_cast<uint32_t>(again)};
+                   .passed_over = static_cast<uint32_t>(retry)};
 }
 
-/// Runners drawn by lot, the last of them up to its queue.
+/// Offer for a request without a shared prefix: randomly drawn runners, the last of them up to its
+/// queue limit.
 std::optional<SlotOffer> offerRandom(const PlacementOptions& options, const PlacementQuery& query) {
   const size_t random_candidates = std::min(options.random_candidates, query.candidates.size());
   if (query.refused >= random_candidates) {
     return std::nullopt;
   }
   const auto runner = chooseOfTwoRandom(query, 0, query.refused);
-  const uint32_t places = runner->entry.slots();
+  const uint32_t slots = runner->entry.slots();
   const uint32_t limit = fullLimit(options, query, *runner);
   const bool last = query.refused + 1 == random_candidates;
-  const bool may_wait = last || query.busy || places == 0;
-  return SlotOffer{.runner = runner, .limit = may_wait ? limit : std::min(limit, places)};
+  const bool may_wait = last || query.busy || slots == 0;
+  return SlotOffer{.runner = runner, .limit = may_wait ? limit : std::min(limit, slots)};
 }
 
 } // namespace
--- a/src/core/relay/placement.h
+++ b/src/core/relay/placement.h
@@ -1,5 +1,6 @@
 /// @file
-/// Which runner a request asks for a place next, and up to which load, where owners count places.
+/// Chooses the next runner at which a request tries to get a slot, and the load limit there, when
+/// slot owners count the slots.
 #pragma once
 
 #include <cstdint>
@@ -12,61 +13,68 @@
 
 namespace workshatch::relay {
 
-/// Load pattern: so many relays that the sums of their loads are older than a request lasts. What
-/// is known of a single runner is then worth little, while its owner knows its load exactly. A
-/// request asks one runner after the other, each up to a limit, until an owner gives a place.
+/// Options for the choice of runners when slot owners count the slots.
 ///
-/// Prompts ask their homes in the order of the ranking, so that a shared part comes to as few
-/// runners as it needs: to read a long part on yet another runner, or to copy it there, costs more
-/// than the request itself. Requests without a shared part ask one of two drawn by lot, that where
-/// their work is expected to take less time: relays that all chose the least used by the same old
-/// sums would meet at one runner. A home whose work takes longer at this moment, since its machine
-/// is shared, is filled less.
+/// Load pattern: there are so many relays that the load totals are older than a request lasts. They
+/// are then a poor estimate of a single runner's load, while the owner of the runner knows its load
+/// exactly. A request tries one runner after the other, each up to a limit, until an owner grants a
+/// slot.
+///
+/// Prompts try their homes, the runners that rank first for their shared prefix, in the order of
+/// the ranking, so that a prefix is cached on as few runners as needed: reading a long prefix on
+/// another runner, or copying it there, costs more than the request itself. A request without a
+/// shared prefix tries one of two randomly drawn runners, the one where its work is expected to
+/// take less time. If all relays chose the least loaded runner by the same outdated totals, they
+/// would all choose the same one. A home that works slower at the moment, because it shares its
+/// machine, gets fewer requests.
 struct PlacementOptions {
-  /// Homes that a prompt asks while the service is not busy, and while it is.
+  /// Number of homes that a prompt tries while the service is not busy, and while it is.
   size_t homes = 4;
   size_t busy_homes = 3;
-  /// Homes that are asked once more, up to their places, when a runner drawn by lot is over the
-  /// load cap as well as the homes: then all are, and the mean load that the cap follows is old. It
-  /// lags by one to two seconds; with limits that followed it, 2 in 10 prompts went past all homes
-  /// while the load of the fleet was growing.
+  /// Number of homes that are tried once more, up to their full slot limit, when the homes and a
+  /// randomly drawn runner are all over the load cap. In that case all runners are over it, and the
+  /// mean load behind the cap is outdated: it lags by one to two seconds. With limits that followed
+  /// the cap only, 2 in 10 prompts were passed on by all their homes while the load of the fleet
+  /// was growing.
   size_t homes_retried = 2;
-  /// Runners drawn by lot that a request without a shared part asks; the last may let it wait in
-  /// the runner's queue.
+  /// Number of randomly drawn runners that a request without a shared prefix tries. At the last one
+  /// it may wait in the runner's queue.
   size_t random_candidates = 3;
-  /// Requests over its places that a home may have while the service is not busy: they wait there
-  /// for less time than it takes to read their prompts elsewhere.
+  /// Number of requests over its slots that a home may have while the service is not busy: queueing
+  /// there takes less time than reading their prompts on another runner.
   uint32_t home_slack = 6;
-  SlotLimitOptions places;
+  SlotLimitOptions slot_limits;
 };
 
-/// What the next offer depends on.
+/// Input of the choice of the next offer.
 struct PlacementQuery {
-  /// Runners that may be used; for a prompt in the ranking of its shared part.
+  /// Runners that may be used. For a prompt they are in the ranking of its shared prefix.
   const std::vector<std::shared_ptr<Runner>>& candidates;
-  /// Offers of this request that were refused so far.
+  /// Number of offers of this request that slot owners refused so far.
   size_t refused = 0;
-  /// `candidates` are ranked.
+  /// The request is a prompt, and `candidates` are ranked for its prefix.
   bool by_prompt = false;
   bool engine = false;
-  /// Most places of the service are taken.
+  /// Most slots of the service are in use.
   bool busy = false;
   RequestRank rank;
   int64_t now_ms = 0;
-  /// Load over which no runner is filled while others are below; none while the mean is not known.
+  /// Load up to which a runner is filled while others have less; empty if the mean load is not
+  /// known.
   std::optional<uint32_t> cap_load;
 };
 
-/// A runner to ask for a place.
+/// A runner at which a slot may be requested.
 struct SlotOffer {
   std::shared_ptr<Runner> runner;
-  /// Requests in progress there, this one included, up to which the place is taken.
+  /// Highest number of requests in progress there, this one included, with which the slot may be
+  /// used.
   uint32_t limit = 0;
-  /// Candidates ranked before it.
+  /// Number of candidates ranked before it.
   uint32_t passed_over = 0;
 };
 
-/// @return the runner to ask next; nothing: all that the request may ask are full.
+/// @return the runner to try next; empty if all that the request may try are full.
 std::optional<SlotOffer> nextOffer(const PlacementOptions& options, const PlacementQuery& question);
 
 } // namespace workshatch::relay
--- a/src/core/relay/policy.h
+++ b/src/core/relay/policy.h
@@ -1,55 +1,57 @@
 /// @file
-/// Which mechanisms decide how a relay chooses, repeats and refuses. Each can be turned off by
-/// itself, so that its worth can be measured (scripts/ablation.sh).
+/// Switches for the mechanisms by which a relay chooses runners, retries and rejects requests. Each
+/// can be turned off by itself to measure its effect (scripts/ablation.sh).
 #pragma once
 
 namespace workshatch::relay {
 
-/// Settings of the member "policy"; on by default where nothing else is said.
+/// Members of the setting "policy". They are on by default unless stated otherwise.
 struct Policy {
-  /// Prompts go to the runners that rank first for their shared part; off: to the least loaded.
+  /// Prompts go to the runners that rank first for their shared prefix; off: to the least loaded
+  /// runner.
   bool prompt_homes = true;
-  /// Engines are told a runner from which they can take cached parts of a prompt.
+  /// A prompt names a runner from which the engine can copy cached prefixes.
   bool fetch_cached_parts = true;
-  /// One relay counts which engines keep a part of a prompt, and names the source; off: each relay
-  /// goes by what it sent itself and by the ranking.
+  /// One relay keeps the directory of the engines that have a prefix cached, and names the source;
+  /// off: each relay relies on what it sent itself and on the ranking.
   bool part_directory = true;
-  /// Requests of the other relays count in a runner's load.
+  /// Requests of the other relays are included in a runner's load.
   bool shared_loads = true;
-  /// Runners that two relays suspect are avoided by all.
+  /// Runners that two relays report as suspects are avoided by all relays.
   bool shared_suspicions = true;
-  /// Runners that fail or can't be reached are avoided for a while.
+  /// Runners that fail or can't be reached are avoided for some time.
   bool hold_downs = true;
-  /// Runners that fall silent with requests in progress are avoided, and repeatable requests leave
-  /// them for another.
+  /// Runners that send nothing while requests are in progress are avoided, and requests that may be
+  /// retried move to another runner.
   bool silence_limits = true;
-  /// Between runners that are equally loaded, one of the own zone is chosen.
+  /// Among equally loaded runners, one in the relay's own zone is chosen.
   bool own_zone_first = true;
-  /// Runners are filled up to their places only; off: whatever is asked is sent.
+  /// Runners are filled up to their slot limits only; off: every request is sent.
   bool place_limits = true;
-  /// One relay counts what all have at a runner, and gives places there; off: each relay goes by
-  /// sums of loads.
+  /// One relay, the slot owner of a runner, counts the requests of all relays there and grants
+  /// slots; off: each relay relies on load totals.
   bool place_owners = true;
-  /// Cold runners get no more requests than they bear.
+  /// Cold runners get no more requests than their sustainable rate allows.
   bool cold_pace = true;
-  /// Requests under which three runners ended reach no more of them.
+  /// Requests during which three runners crashed are not sent to any further runner.
   bool quarantine = true;
-  /// What relays take of a busy runner between two sums is shared out.
+  /// Relays share the free slots of a busy runner between two load totals.
   bool shared_places = true;
-  /// On a busy fleet prompts go to few of the runners that rank for them.
+  /// On a busy fleet, prompts go only to a few of the runners that rank first for them.
   bool few_homes = true;
-  /// Requests wait a moment for a place. Off by default: on overload days relays that refuse at
-  /// once refuse fewer requests, and fewer are served late (docs/DECISIONS.md).
+  /// Requests wait for a short time for a free slot. Off by default: on days of overload, relays
+  /// that reject at once reject fewer requests, and fewer are served late (docs/DECISIONS.md).
   bool waiting_line = false;
-  /// Refused callers come back at the pace of the service; off: after a fixed time.
+  /// Rejected callers are asked to retry at the rate at which the service can serve them; off:
+  /// after a fixed time.
   bool paced_returns = true;
-  /// Tenants that use more than their share leave places to others on a busy fleet.
+  /// On a busy fleet, tenants over their share leave slots to others.
   bool tenant_shares = true;
-  /// Requests wait a moment for the first lease of a relay that has just started.
+  /// At a relay that has just started, requests wait for a short time for its first lease.
   bool first_lease_wait = true;
-  /// Callers keep addresses for longer while relays are silent.
+  /// Callers get longer address lifetimes while relays are silent.
   bool address_lifetimes = true;
-  /// The relay sends on repeats within the budget only; off: no repeats at all.
+  /// The relay forwards retries only within the retry budget; off: no retries at all.
   bool repeats = true;
 };
 
--- a/src/core/relay/prefix_directory.cc
+++ b/src/core/relay/prefix_directory.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Engines keep what was used lately; within this time a part is very likely still there.
+/// Time after its last use for which an engine very likely still has a prefix in its cache.
 constexpr int64_t kCacheRetentionMs = 20'000;
-/// A part of a few thousand tokens has been read by then, also in the first second of a day, when
-/// engines read nothing but new prompts. With 250 ms 3 to 18 in 100 more tokens were read again
-/// (three days).
+/// Time after which an engine has read a prefix of a few thousand tokens, also in the first second
+/// of a day, when engines read nothing but new prompts. With 250 ms, 3 to 18 in 100 more tokens
+/// were read again on three test days.
 constexpr int64_t kPrefillMs = 1000;
-/// After so long every part in use has been told of: prompts of one part that come less often than
-/// this gain little by a source.
+/// Time after which a new directory has seen every prefix in use. Prompts that share a prefix less
+/// often than this gain little by a copy source.
 constexpr int64_t kWarmUpMs = 10'000;
 constexpr int64_t kUsPerMs = 1000;
 
@@ -25,9 +25,10 @@
   return found != holders.end() && now_ms - found->second.used_ms < kCacheRetentionMs;
 }
 
-/// @return the holder that has had time to read the part and was named longest ago, so that copies
-/// spread over the links of all holders; if none had time, the one that got it first; zero: none,
-/// or all have more copies to make than are worth waiting for.
+/// @return the holder that has had time to read the prefix and was named longest ago, so that
+/// copies are spread over the network links of all holders. If no holder has had time, the one that
+/// got the prefix first. Zero: there is no holder, or all have so many copies to make that reading
+/// the prefix is faster than waiting.
 uint64_t PrefixDirectory::chooseSource(Holders& holders, const PromptTarget& prompt,
                                        uint32_t copy_us, const Usable& usable, int64_t now_ms) {
   const int64_t now_us = now_ms * kUsPerMs;
@@ -84,7 +85,7 @@
   recordUse(prefix_holders, prompt.runner, now_ms);
   if (prompt.parent != 0) {
     Holders& parent_holders = prefixes_[prompt.parent];
-    // A holder of the part holds its parent too.
+    // A holder of a prefix also holds its parent.
     const bool lacks_parent = source.runner == 0 && !holds(parent_holders, prompt.runner, now_ms);
     if (lacks_parent) {
       source.runner = chooseSource(parent_holders, prompt, prompt.parent_copy_us, usable, now_ms);
--- a/src/core/relay/prefix_directory.h
+++ b/src/core/relay/prefix_directory.h
@@ -1,5 +1,6 @@
 /// @file
-/// Which runners keep which shared parts of prompts, as one relay counts it for all relays.
+/// Directory of the runners that have a prompt prefix cached. One relay keeps the entry of a prefix
+/// for all relays.
 #pragma once
 
 #include <cstdint>
@@ -9,75 +10,83 @@
 
 namespace workshatch::relay {
 
-/// A prompt that goes to a runner. Parts and runners are named by their fingerprints.
+/// A prompt that is sent to a runner. Prefixes and runners are identified by their fingerprints.
 struct PromptTarget {
-  /// Last shared part of the prompt.
+  /// Longest shared prefix of the prompt.
   uint64_t prefix = 0;
-  /// Shared part before it; zero: none.
+  /// Next shorter shared prefix; zero: none.
   uint64_t parent = 0;
   uint64_t runner = 0;
-  /// How long an engine takes to copy all parts up to the last shared one to another, and all up to
-  /// the one before it, microseconds; zero: not known.
+  /// Time in which an engine copies the prefix, or its parent, from another engine, in
+  /// microseconds; zero: unknown.
   uint32_t part_copy_us = 0;
   uint32_t parent_copy_us = 0;
 
-  /// What names the relay that counts: prompts that share a part ask the same one.
+  /// @return key that selects the relay with the directory entry: prompts with a common parent use
+  /// the same relay.
   uint64_t group() const { return parent == 0 ? prefix : parent; }
 };
 
-/// From which runner a prompt's runner takes the parts that it lacks.
+/// Runner from which the prompt's runner can copy a prefix that it lacks.
 struct PrefixSource {
-  /// False: this relay has not counted for long enough to say.
+  /// False: this relay has not kept the directory entry for long enough to know.
   bool known = false;
-  /// Zero: the runner keeps all that any other does.
+  /// Zero: no other runner has a longer prefix cached.
   uint64_t runner = 0;
 };
 
-/// Load pattern: hundreds of relays send the prompts of a few kinds to a hundred runners; all
-/// prompts of a kind begin with one of a few long parts. Each relay alone sees a runner's prompts
-/// once in many seconds: by what it sent itself, and by the ranking of runners, it named a source
-/// that lacked the part for most of the first seconds of a day, and every runner read the long
-/// parts anew. Here one relay is told of all prompts that begin with a part.
+/// Directory of the holders of prompt prefixes, and choice of the holder from which a runner copies
+/// a prefix.
 ///
-/// An engine copies for one other at a time. In a fleet of thousands a part that many prompts begin
-/// with is wanted faster than its first holder can copy it, and what waits there waits longer than
-/// reading the part takes. So the directory counts the copies that each holder was named for, and
-/// names none that has more than one to make; the runner then reads the part, and is a holder too.
+/// Load pattern: hundreds of relays send prompts of a few kinds to a hundred runners, and all
+/// prompts of a kind begin with one of a few long prefixes. A single relay sends a prompt to a
+/// given runner only once in many seconds. When relays named sources by what they had sent
+/// themselves and by the ranking of runners, most sources lacked the prefix during the first
+/// seconds of a day, and every runner read the long prefixes again. Therefore one relay receives a
+/// report of each prompt that begins with a given prefix.
 ///
-/// It is told before the prompt is sent. A runner that has not had time to read the part is named
-/// only when no other is there. What the directory says may be wrong (a runner gave the part up, a
-/// message was lost): the runner then reads what it lacks, as without a source.
+/// An engine serves one copy at a time. In a fleet of thousands, a popular prefix is requested
+/// faster than its first holder can copy it, and waiting for the copy takes longer than reading the
+/// prefix. The directory therefore tracks the copies that each holder was named for, and does not
+/// name a holder that has more than one to make. The runner then reads the prefix and becomes a
+/// holder itself.
 ///
-/// Guarantee: a runner that was noted as not having got a prompt is not named for it.
-/// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
+/// The report is received before the prompt is sent. A runner that has not had time to read the
+/// prefix is named only if there is no other holder. An entry may be wrong, because the runner
+/// evicted the prefix or a message was lost; the runner then reads the prefix, as it does without a
+/// source.
+///
+/// Guarantee: a runner that was recorded as not having received a prompt is not named for it. Times
+/// are milliseconds of the monotonic clock. Not safe for concurrent use.
 class PrefixDirectory {
 public:
-  /// @return whether the runner with this fingerprint can be copied from.
+  /// @return whether prefixes can be copied from the runner with this fingerprint.
   using Usable = std::function<bool(uint64_t runner)>;
 
-  /// Notes that the relays that count have changed: what this one has not been told may be kept.
+  /// Records that the assignment of prefixes to relays has changed, so that holders may exist that
+  /// were not reported to this relay.
   void recordOwnersChanged(int64_t now_ms) { tracking_since_ms_ = now_ms; }
 
-  /// Notes that the prompt goes to its runner, and names a source for it.
+  /// Records that the prompt goes to its runner, and chooses a source for it.
   PrefixSource sourceFor(const PromptTarget& prompt, const Usable& usable, int64_t now_ms);
 
-  /// Notes that the prompt did not reach its runner.
+  /// Records that the prompt did not reach its runner.
   void recordNotDelivered(const PromptTarget& prompt);
 
-  /// Drops what was not used for long.
+  /// Drops holders that have not used their prefix for the time that engines keep it.
   void dropStale(int64_t now_ms);
 
   size_t prefixCount() const { return prefixes_.size(); }
 
 private:
   struct HolderState {
-    /// When the first prompt with the part went there.
+    /// When the first prompt with the prefix went to the runner.
     int64_t since_ms = 0;
-    /// When the last did.
+    /// When the last prompt with the prefix went there.
     int64_t used_ms = 0;
-    /// When it was last named as a source.
+    /// When the runner was last named as a source.
     int64_t last_named_ms = 0;
-    /// Until when it makes the copies that it was named for, microseconds.
+    /// Estimated end of the copies that it was named for, microseconds.
     int64_t copying_until_us = 0;
   };
   /// By fingerprint of the runner.
@@ -89,9 +98,10 @@
   static void recordUse(Holders& holders, uint64_t runner, int64_t now_ms);
   void dropHolder(uint64_t prefix, uint64_t runner);
 
-  /// By fingerprint of the part.
+  /// By fingerprint of the prefix.
   std::unordered_map<uint64_t, Holders> prefixes_;
-  /// Empty: no list of relays is known yet.
+  /// When the assignment of prefixes to relays last changed; empty: no list of relays was received
+  /// yet.
   std::optional<int64_t> tracking_since_ms_;
 };
 
--- a/src/core/relay/prefix_sources.cc
+++ b/src/core/relay/prefix_sources.cc
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Engines keep what was used lately; within this time a part is very likely still there.
+/// Time after its last use for which an engine very likely still has a prefix in its cache.
 constexpr int64_t kCacheRetentionMs = 10'000;
-/// A runner that is listed for less has not had the parts that rank it first; the one that ranked
-/// first before it does.
+/// A runner that was listed more recently has not yet received the prefixes for which it ranks
+/// first. The runner that ranked first before it still has them.
 constexpr int64_t kNewRunnerMs = 10'000;
-/// Parts remembered at most. At 2,500 requests a second before 390 relays one relay sends 64
-/// prompts in `kCacheRetentionMs`, each with two parts.
+/// Maximum number of remembered prefixes. At 2,500 requests per second over 390 relays, one relay
+/// sends 64 prompts in `kCacheRetentionMs`, each with two prefixes.
 constexpr size_t kMaxRememberedPrefixes = 1024;
 
 bool isNew(const Runner& runner, int64_t now_ms) {
@@ -23,7 +23,7 @@
   return runner.avoid_until_ms != 0 && now_ms - runner.avoid_until_ms < kCacheRetentionMs;
 }
 
-/// @return of the runners that `usable` accepts, the one that ranks first for a part; null: none.
+/// @return the runner that ranks first for a prefix among those that `usable` accepts; null: none.
 template <typename Usable>
 std::shared_ptr<Runner> firstRanked(const SourceQuery& query, uint64_t prefix, Usable usable) {
   std::shared_ptr<Runner> best;
@@ -41,7 +41,8 @@
   return best;
 }
 
-/// @return the runner that ranked first for the part before the newest were listed; null: none.
+/// @return the runner that ranked first for the prefix before the newest runners were listed; null:
+/// none.
 std::shared_ptr<Runner> previousHome(const SourceQuery& query) {
   return firstRanked(query, query.prefix, [&](const Runner& runner) {
     const bool here = &runner == query.chosen;
@@ -49,7 +50,7 @@
   });
 }
 
-/// @return the runner that ranks first for a part beside the chosen one; null: none.
+/// @return the runner that ranks first for a prefix, the chosen one excepted; null: none.
 std::shared_ptr<Runner> nextInRanking(const SourceQuery& query, uint64_t prefix) {
   return firstRanked(query, prefix, [&](const Runner& runner) {
     return &runner != query.chosen && !query.avoided(runner);
@@ -103,15 +104,16 @@
   if (!home || wasAvoidedLately(*query.chosen, query.now_ms)) {
     return nextInRanking(query, query.prefix);
   }
-  // The part is here or nowhere; the one before it, which many parts share, may be elsewhere.
+  // If any runner has the prefix, it is the chosen one. The parent, which many prefixes share, may
+  // be cached on other runners.
   if (query.parent == 0) {
     return nullptr;
   }
   if (const auto sent = lastSentTo(query.parent, query)) {
     return other(sent);
   }
-  // A part that many share is nearly everywhere; all relays take it from one runner, until they
-  // have seen it go elsewhere.
+  // Nearly every runner has a parent that many prompts share. All relays copy it from the same
+  // runner until they have sent it to another one themselves.
   return nextInRanking(query, query.parent);
 }
 
--- a/src/core/relay/prefix_sources.h
+++ b/src/core/relay/prefix_sources.h
@@ -1,5 +1,6 @@
 /// @file
-/// From which other runner an engine takes the cached parts of a prompt that it lacks.
+/// Chooses the runner from which an engine copies cached prompt prefixes, by what this relay knows
+/// alone.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +13,32 @@
 
 namespace workshatch::relay {
 
-/// What the choice of a source depends on. The pointers are valid during the call only.
+/// Input of the choice of a source. The pointers must be valid during the call only.
 struct SourceQuery {
-  /// Fingerprint of the prompt's last shared part.
+  /// Fingerprint of the prompt's longest shared prefix.
   uint64_t prefix = 0;
-  /// Fingerprint of the shared part before it; zero: none.
+  /// Fingerprint of the next shorter shared prefix; zero: none.
   uint64_t parent = 0;
   /// The runner that gets the prompt.
   const Runner* chosen = nullptr;
   /// All runners of the service.
   const std::vector<std::shared_ptr<Runner>>* runners = nullptr;
-  /// @return whether a runner is not to be asked now.
+  /// @return whether a runner is avoided, so that nothing is copied from it.
   std::function<bool(const Runner&)> avoided;
   int64_t now_ms = 0;
 };
 
-/// Knows where this relay sent parts of prompts lately; of parts that only other relays sent, the
-/// ranking of runners tells where they went. Times are milliseconds of the monotonic clock. Not
-/// safe for concurrent use.
+/// Remembers to which runners this relay recently sent prefixes. For prefixes that only other
+/// relays sent, the ranking of runners tells where they are. Times are milliseconds of the
+/// monotonic clock. Not safe for concurrent use.
 class PrefixSources {
 public:
-  /// Notes that a prompt with these parts goes to the runner.
+  /// Records that a prompt with this prefix and parent prefix goes to the runner.
   void recordSent(uint64_t prefix, uint64_t parent, const std::shared_ptr<Runner>& runner,
                   int64_t now_ms);
 
-  /// @return a runner that likely keeps more of the prompt than the chosen one; null: none.
+  /// @return a runner that likely has a longer prefix of the prompt cached than the chosen one;
+  /// null: none.
   std::shared_ptr<Runner> sourceFor(const SourceQuery& query) const;
 
 private:
--- a/src/core/relay/quarantine.h
+++ b/src/core/relay/quarantine.h
@@ -1,5 +1,5 @@
 /// @file
-/// The requests in quarantine, as a relay looks them up.
+/// A relay's copy of the list of requests in quarantine.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,16 @@
 
 namespace workshatch::relay {
 
-/// Requests that reach no runner, since they ended those that ran them. Not safe for concurrent
-/// use.
+/// Requests that are not sent to any runner because they crashed the runners that ran them. Not
+/// safe for concurrent use.
 class Quarantine {
 public:
-  /// Replaces the list, unless it is older than the one held.
-  /// @return whether it was taken.
+  /// Replaces the list, unless it is older than the present one.
+  /// @return whether the list was replaced.
   bool setList(const v1::QuarantineList& list);
 
-  /// @return when the request came into quarantine, wall time in milliseconds; null: it is not in.
+  /// @return when the request was put into quarantine, wall time in milliseconds; null: it is not
+  /// in quarantine.
   const uint64_t* sinceMs(const RequestIdentity& request) const;
   bool contains(const RequestIdentity& request) const { return sinceMs(request) != nullptr; }
 
--- a/src/core/relay/request_identity.cc
+++ b/src/core/relay/request_identity.cc
@@ -11,7 +11,8 @@
 
 RequestIdentity identityOf(std::string_view tenant, std::string_view method,
                            std::string_view target, std::string_view body) {
-  // The parts are hashed apart, so that a long body is not copied to be joined to the others.
+  // The parts are hashed separately, so that a long body need not be copied to be joined to the
+  // others.
   const std::array<uint64_t, 3> parts = {
       routing::fingerprintOf(method), routing::fingerprintOf(target), routing::fingerprintOf(body)};
   std::array<char, sizeof(parts)> bytes{};
--- a/src/core/relay/request_identity.h
+++ b/src/core/relay/request_identity.h
@@ -1,5 +1,6 @@
 /// @file
-/// What makes two requests the same one: sent again under another id, at any relay.
+/// Identity of a request that is the same for all its attempts, at any relay and under any request
+/// id.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +11,10 @@
 
 namespace workshatch::relay {
 
-/// The request itself, apart from the try: its id differs from try to try.
+/// Identifies a request by its content, not by its id, which differs from attempt to attempt.
 ///
-/// The caller is a number of its own, beside the content, so that no tenant can make a request
-/// that passes for another tenant's: the hash is not made to resist that.
+/// The caller is a number of its own beside the content, so that no tenant can craft a request that
+/// passes for another tenant's: the hash function is not collision-resistant.
 struct RequestIdentity {
   /// Fingerprint of the tenant's name, the same for all requests without a tenant.
   uint64_t caller = 0;
@@ -36,7 +37,7 @@
 v1::RequestIdentity messageOf(const RequestIdentity& identity);
 RequestIdentity identityOf(const v1::RequestIdentity& message);
 
-/// @return the identity as logs show it: caller and content, each as 16 hexadecimal digits.
+/// @return the identity as written to logs: caller and content, each as 16 hexadecimal digits.
 std::string textOf(const RequestIdentity& identity);
 
 } // namespace workshatch::relay
--- a/src/core/relay/rollout_analysis.cc
+++ b/src/core/relay/rollout_analysis.cc
@@ -7,21 +7,25 @@
 
 namespace {
 
-/// Standard deviations that speak against a version which is as good as the former one in less than
-/// one of ten million looks; a rollout has some thousand, at each route and span.
+/// Strength of evidence, in standard deviations, from which a version is rolled back. A version as
+/// good as the former one reaches it in less than one of ten million evaluations; a rollout has
+/// some thousand for each route and time window.
 constexpr double kStrongEvidence = 5.5;
-/// At the end of the trial, when one look decides.
+/// Strength of evidence from which a version is not promoted at the end of its trial, where a
+/// single evaluation decides.
 constexpr double kEvidenceAgainstPromotion = 4.5;
-/// Part of the duration after which a version without evidence against it is promoted; the rest is
-/// left for the former versions to finish what they have.
+/// Fraction of the rollout's duration after which a version without evidence against it is
+/// promoted. The rest is left for the former versions to finish their requests.
 constexpr double kTrialFraction = 0.6;
-/// Part after which a version that could not be judged is rolled back.
+/// Fraction of the duration after which a version that could not be judged is rolled back.
 constexpr double kDecisionDeadlineFraction = 0.85;
-/// Answers of the target version on which a promotion rests at least.
+/// Minimum number of responses of the target version for a promotion.
 constexpr uint64_t kMinResponses = 40;
-/// Part of the former versions' places that the target version must have to take all requests.
+/// Minimum slots of the target version for a promotion, as a fraction of the former versions'
+/// slots.
 constexpr double kMinSlotsFraction = 0.5;
-/// Outcomes are also compared over these last spans, for a version that turns bad later.
+/// Outcomes are also compared over these most recent time windows, to detect a version that turns
+/// bad later.
 constexpr int64_t kWindowsMs[] = {2000, 4000};
 constexpr int64_t kLongestWindowMs = 4000;
 constexpr int64_t kSnapshotIntervalMs = 250;
@@ -64,8 +68,9 @@
   }
   for (const int64_t window_ms : kWindowsMs) {
     const int64_t from_ms = snapshots_.back().at_ms - window_ms;
-    const auto snapshot = std::find_if(snapshots_.begin(), snapshots_.end(),
-                                       [&](const Snapshot& held) { return held.at_ms >= from_ms; });
+    const auto snapshot =
+        std::find_if(snapshots_.begin(), snapshots_.end(),
+                     [&](const Snapshot& candidate) { return candidate.at_ms >= from_ms; });
     const Evidence recent = outcomes_.since(snapshot->outcomes).strongest();
     strongest = strongest.strength < recent.strength ? recent : strongest;
   }
--- a/src/core/relay/rollout_analysis.h
+++ b/src/core/relay/rollout_analysis.h
@@ -1,5 +1,5 @@
 /// @file
-/// The leader's judgement of a rollout: by the outcomes that relays tell of both versions.
+/// The leader's decision on a rollout, by the outcomes that relays report for both versions.
 #pragma once
 
 #include <cstdint>
@@ -13,44 +13,44 @@
 
 namespace workshatch::relay {
 
-/// What the judgement rests on besides the outcomes.
+/// Input of a decision besides the outcomes.
 struct RolloutConditions {
   int64_t now_ms = 0;
-  /// Places of all runners of the target version, and of the former ones.
+  /// Slots of all runners of the target version, and of the former versions.
   uint64_t target_slots = 0;
   uint64_t former_slots = 0;
-  /// The leader has heard all relays since it leads.
+  /// All relays have reported to the leader since it became leader.
   bool all_relays_reported = false;
-  /// No relay has requests at former versions any more.
+  /// No relay has requests in progress at former versions.
   bool former_idle = false;
 };
 
-/// One rollout at the leader. A version that is worse is rolled back as soon as the evidence is
-/// strong, also while it is promoted. A version that was on trial for long enough without evidence
-/// against it is promoted, and has succeeded once the former versions have nothing left to do. What
-/// can't be judged in time is rolled back: a bad version in force harms callers, a good one that
-/// has to be ordered again costs an operator a call.
+/// Analysis of one rollout at the leader. A target version that is worse is rolled back as soon as
+/// the evidence is strong, also while it is being promoted. A version that was on trial for long
+/// enough without evidence against it is promoted, and has succeeded once the former versions have
+/// no requests left. A version that can't be judged in time is rolled back: a bad version in use
+/// harms callers, while repeating the rollout of a good one costs an operator one command.
 ///
-/// A new leader learns all outcomes from the relays' next reports, which count from the beginning
-/// of the rollout; until it has heard them all it may roll back, and nothing else. Times are
+/// A new leader receives all outcomes with the relays' next reports, whose counts start at the
+/// beginning of the rollout. Until all relays have reported, it may only roll back. Times are
 /// milliseconds of the monotonic clock. Not safe for concurrent use.
 class RolloutAnalysis {
 public:
-  /// @param elapsed_ms since the order
+  /// @param elapsed_ms time since the rollout was ordered
   RolloutAnalysis(const v1::Rollout& rollout, int64_t elapsed_ms, int64_t now_ms)
       : duration_ms_(rollout.duration_ms()), started_ms_(now_ms - elapsed_ms) {}
 
-  /// Takes a relay's report; what an earlier process of the relay told stays counted.
+  /// Adds a relay's report. Outcomes that an earlier process of the relay reported remain counted.
   void addReport(const std::string& relay, uint64_t incarnation, const v1::RolloutReport& report,
                  int64_t now_ms);
 
-  /// @return the phase that the rollout is to go to; nothing: it stays as it is.
+  /// @return the next phase of the rollout; empty: it stays in the present one.
   std::optional<v1::RolloutPhase> decide(v1::RolloutPhase phase,
                                          const RolloutConditions& situation);
 
-  /// Outcomes since the beginning, for the log.
+  /// Outcomes since the beginning of the rollout, for the log.
   const VersionComparison& outcomes() const { return outcomes_; }
-  /// What the last decision rested on, for the log.
+  /// Evidence at the last decision, for the log.
   const Evidence& evidence() const { return evidence_; }
   int64_t elapsedMs(int64_t now_ms) const { return now_ms - started_ms_; }
 
--- a/src/core/relay/rollout_gate.cc
+++ b/src/core/relay/rollout_gate.cc
@@ -11,7 +11,7 @@
   return std::find(former.begin(), former.end(), version) != former.end();
 }
 
-/// @return a number from 0 to below 1.
+/// @return a number in the range [0, 1).
 double fractionOf(uint64_t draw) {
   constexpr uint64_t kParts = uint64_t{1} << 20U;
   return static_cast<double>(draw % kParts) / static_cast<double>(kParts);
@@ -23,11 +23,11 @@
   const bool target = version == rollout.target_version();
   switch (rollout.phase()) {
   case v1::ROLLOUT_CANARY:
-    // Without runners of a former version nothing is there to move away from.
+    // Without runners of a former version there is nothing to move away from.
     return rollout.former_versions().empty() || target == trial;
   case v1::ROLLOUT_PROMOTING:
   case v1::ROLLOUT_SUCCEEDED:
-    // A version that came later is no concern of this rollout.
+    // The rollout does not restrict versions that were added later.
     return target || !isFormer(rollout, version);
   case v1::ROLLOUT_ROLLED_BACK:
     return !target;
@@ -43,10 +43,10 @@
     if (rollout.phase() != v1::ROLLOUT_CANARY) {
       continue;
     }
-    const auto held = credits_.find(rollout.service());
-    const bool same = held != credits_.end() && held->second.rollout == rollout.id();
+    const auto existing = credits_.find(rollout.service());
+    const bool same = existing != credits_.end() && existing->second.rollout == rollout.id();
     credit[rollout.service()] =
-        same ? held->second : TrialCredit{.rollout = rollout.id(), .trials = fractionOf(draw)};
+        same ? existing->second : TrialCredit{.rollout = rollout.id(), .trials = fractionOf(draw)};
   }
   credits_ = std::move(credit);
 }
--- a/src/core/relay/rollout_gate.h
+++ b/src/core/relay/rollout_gate.h
@@ -1,6 +1,6 @@
 /// @file
-/// Which versions of a service's runners a relay sends requests to while a rollout is under way,
-/// and after it.
+/// Decides to which versions of a service's runners a relay sends requests during a rollout and
+/// after it.
 #pragma once
 
 #include <cstdint>
@@ -12,35 +12,38 @@
 
 namespace workshatch::relay {
 
-/// Keeps what all relays together send to a version that is not judged yet under a share of the
+/// Limits the requests that all relays together send to a version on trial to a share of the
 /// service's requests.
 ///
-/// Each relay earns a part of a trial with each request that it sends, and takes a whole one for
-/// each request that goes to the target version. So the share holds by itself: while the leader is
-/// away, while lists of relays differ, and after a relay's restart, which begins with nothing
-/// earned. A relay begins a rollout with a part drawn by lot, since in a large fleet each sends
-/// only a few requests in the time of a rollout: without it most would never earn a whole trial.
+/// Each request that a relay sends earns it a fraction of a trial, and each request that it sends
+/// to the target version consumes a whole one. No coordination is needed to keep the share: it also
+/// holds while there is no leader, while the lists of relays differ, and after the restart of a
+/// relay, which starts without earned trials. A relay starts a rollout with a random fraction of a
+/// trial, because in a large fleet each relay sends only a few requests during a rollout, and most
+/// relays would never earn a whole trial.
 ///
 /// Not safe for concurrent use.
 class RolloutGate {
 public:
-  /// @param share of a service's requests that a version on trial may get
+  /// @param share fraction of a service's requests that a version on trial may get
   explicit RolloutGate(double share) : share_(share) {}
 
-  /// Replaces the rollouts. @param draw random number, for what is earned at the beginning of one
+  /// Replaces the rollouts.
+  /// @param draw random number that sets the fraction of a trial at the start of a rollout
   void setRollouts(const v1::RolloutList& rollouts, uint64_t draw);
   const v1::RolloutList& rollouts() const { return rollouts_; }
 
-  /// @return the last rollout of the service; null: it had none.
+  /// @return the latest rollout of the service; null: there was none.
   const v1::Rollout* findRollout(const std::string& service) const {
     return relay::findRollout(rollouts_, service);
   }
 
-  /// Takes a trial for a request of the service. @return false when none is earned.
+  /// Consumes a trial for a request of the service.
+  /// @return whether a trial was available.
   bool takeTrial(const std::string& service);
-  /// Gives back a trial that was not sent.
+  /// Returns a trial whose request was not sent.
   void returnTrial(const std::string& service);
-  /// Notes that a request of the service was sent to a runner for the first time.
+  /// Records that a request of the service was sent to a runner for the first time.
   void recordSent(const std::string& service);
 
 private:
@@ -54,11 +57,11 @@
 
   const double share_;
   v1::RolloutList rollouts_;
-  /// By service, of rollouts on trial.
+  /// By service, for rollouts whose target version is on trial.
   std::map<std::string, TrialCredit> credits_;
 };
 
-/// @return whether the rollout lets a request go to a runner of this version.
+/// @return whether the rollout allows a request to go to a runner of this version.
 /// @param trial the request is one of those that the target version gets on trial
 bool admitsVersion(const v1::Rollout& rollout, const std::string& version, bool trial);
 
--- a/src/core/relay/rollout_outcomes.cc
+++ b/src/core/relay/rollout_outcomes.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-template <typename Told>
-void writeTimes(const std::array<uint64_t, kTimeBuckets>& times, Told& told) {
+template <typename Repeated>
+void writeTimes(const std::array<uint64_t, kTimeBuckets>& times, Repeated& message) {
   size_t used = times.size();
   while (used > 0 && times[used - 1] == 0) {
     --used;
   }
   for (size_t i = 0; i < used; ++i) {
-    told.Add(static_cast<uint32_t>(times[i]));
+    message.Add(static_cast<uint32_t>(times[i]));
   }
 }
 
@@ -39,13 +39,13 @@
     return;
   }
   for (const auto& [route_version, counts] : found->second) {
-    v1::VersionOutcomes& told = *report.add_outcomes();
-    told.set_route(route_version.first);
-    told.set_target(route_version.second);
-    told.set_ended(static_cast<uint32_t>(counts.ended));
-    told.set_failed(static_cast<uint32_t>(counts.failed));
-    writeTimes(counts.first_times, *told.mutable_first_times());
-    writeTimes(counts.step_times, *told.mutable_step_times());
+    v1::VersionOutcomes& message = *report.add_outcomes();
+    message.set_route(route_version.first);
+    message.set_target(route_version.second);
+    message.set_ended(static_cast<uint32_t>(counts.ended));
+    message.set_failed(static_cast<uint32_t>(counts.failed));
+    writeTimes(counts.first_times, *message.mutable_first_times());
+    writeTimes(counts.step_times, *message.mutable_step_times());
   }
 }
 
--- a/src/core/relay/rollout_outcomes.h
+++ b/src/core/relay/rollout_outcomes.h
@@ -1,5 +1,6 @@
 /// @file
-/// What one relay has seen of requests at both versions of a rollout, as it tells the leader.
+/// Counts the outcomes of one relay's requests at both versions of a rollout, for its reports to
+/// the leader.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +14,25 @@
 
 namespace workshatch::relay {
 
-/// How one request ended at a runner.
+/// Outcome of one request at a runner.
 struct VersionOutcome {
   std::string route;
   bool target = false;
   bool failed = false;
-  /// Milliseconds to the first part of the answer; nothing: none came.
+  /// Milliseconds to the first part of the response; empty: there was no response.
   std::optional<double> first_ms;
-  /// Milliseconds from event to event of a stream, or to the end of any other answer.
+  /// Mean interval between the events of a stream, or time to the end of any other response, in
+  /// milliseconds.
   std::optional<double> step_ms;
 };
 
-/// Counts outcomes of the rollouts that are under way. Not safe for concurrent use.
+/// Counts outcomes for the rollouts in progress. Not safe for concurrent use.
 class RolloutOutcomes {
 public:
   void record(uint64_t rollout, const VersionOutcome& outcome);
-  /// Adds what was counted for a rollout.
+  /// Adds the counts for the report's rollout to the report.
   void fill(v1::RolloutReport& report) const;
-  /// Drops what belongs to rollouts that are over.
+  /// Drops the counts of all rollouts that are not in progress.
   void dropFinished(const v1::RolloutList& rollouts);
 
 private:
--- a/src/core/relay/runner.h
+++ b/src/core/relay/runner.h
@@ -1,5 +1,5 @@
 /// @file
-/// One back end as a relay knows it.
+/// State that a relay keeps for one back end.
 #pragma once
 
 #include <cstdint>
@@ -10,53 +10,56 @@
 
 namespace workshatch::relay {
 
-/// One back end. Times are milliseconds of the monotonic clock.
+/// State of one back end. Times are milliseconds of the monotonic clock.
 struct Runner {
   v1::RunnerEntry entry;
-  /// Fingerprint of its life (runner_life.h), under which all else is kept of it.
+  /// Fingerprint of the runner's incarnation (runner_incarnation.h), the key of all state that is
+  /// kept for the runner.
   uint64_t fingerprint = 0;
-  /// Fingerprint of `entry`, a part of the list's.
+  /// Fingerprint of `entry`, a summand of the list's fingerprint.
   uint64_t entry_fingerprint = 0;
-  /// Attempts of this relay that are in progress.
+  /// Attempts of this relay in progress.
   uint32_t in_progress = 0;
-  /// Attempts of the other relays, as of the last sums.
+  /// Attempts of the other relays in progress, by the last load totals.
   uint32_t others_in_progress = 0;
-  /// Attempts of this relay when the last sums came.
+  /// Attempts of this relay in progress when the last load totals were received.
   uint32_t in_progress_at_totals = 0;
-  /// It has been sent prompts with cached parts.
+  /// Prompts with shared prefixes were sent to the runner.
   bool engine = false;
-  /// Moving share of failed attempts, 0 to 1.
+  /// Moving average of the fraction of failed attempts, 0 to 1.
   double failure_rate = 0;
   uint32_t failures_in_row = 0;
-  /// When it last sent anything, or the first of its present attempts began.
+  /// When the runner last sent anything, or when the first of its present attempts began.
   int64_t last_activity_ms = 0;
-  /// Other relays get no answer from it, as told until then.
+  /// End of the time for which the runner is avoided because other relays get no response from it.
   int64_t suspected_until_ms = 0;
-  /// Not chosen before, unless nothing else is left.
+  /// The runner is not chosen before this time, unless no other is left.
   int64_t avoid_until_ms = 0;
-  /// It declined a request, being full; taken to be so until then.
+  /// End of the time for which the runner counts as full, after it declined a request or its slot
+  /// owner granted none.
   int64_t full_until_ms = 0;
-  /// Until when it wants no requests from this relay.
+  /// Backoff that the runner requested from this relay.
   RunnerBackoff backoff;
-  /// Region of its zone; empty: not known.
+  /// Region of the runner's zone; empty: unknown.
   std::string region;
-  /// Its zone is evacuated: it gets no requests.
+  /// The runner's zone is evacuated, so that it gets no requests.
   bool evacuated = false;
-  /// Its version was read from the platform while the group was silent, so that it is not known
-  /// whether a rollout holds requests back from it.
+  /// The version was read from the platform while the group was unreachable, so that it is not
+  /// known whether a rollout excludes it.
   bool version_unconfirmed = false;
-  /// How long work takes there as a multiple of the usual time, smoothed, and when it was told
-  /// last.
+  /// Smoothed duration of work at the runner as a multiple of the usual duration, and when it was
+  /// last reported.
   double work_time_factor = 1;
   int64_t work_time_reported_ms = 0;
-  /// It counts as cold until then.
+  /// The runner counts as cold until this time.
   int64_t cold_until_ms = 0;
-  /// When it came into the list; zero: it was in the first one.
+  /// When the runner was added to the list; zero: it was in the first list.
   int64_t listed_since_ms = 0;
-  /// Gone from the list; kept only while attempts are in progress.
+  /// The runner was removed from the list. The object lives on while attempts are in progress.
   bool gone = false;
 
-  /// @return whether its process is about to end, by the list or by its own word.
+  /// @return whether the runner's process is about to end, according to the list or to the runner
+  /// itself.
   bool isLeaving() const { return entry.leaving() || backoff.leaving; }
   uint32_t load() const { return in_progress + others_in_progress; }
 };
--- a/src/core/relay/runner_backoffs.cc
+++ b/src/core/relay/runner_backoffs.cc
@@ -4,15 +4,15 @@
 
 namespace {
 
-/// Backoffs kept at most; a relay that meets more runners than this drops those that are over.
+/// Maximum number of backoffs. When it is reached, those that are over are dropped.
 constexpr size_t kMaxBackoffs = 4096;
-/// A process that leaves has ended long before this.
+/// Time after which a leaving process has certainly ended.
 constexpr int64_t kLeavingRetentionMs = 600'000;
 
 } // namespace
 
-RunnerBackoff RunnerBackoffs::note(uint64_t incarnation, const RunnerNotice& notice,
-                                   int64_t now_ms) {
+RunnerBackoff RunnerBackoffs::record(uint64_t incarnation, const RunnerNotice& notice,
+                                     int64_t now_ms) {
   RunnerBackoff backoff = find(incarnation);
   if (!notice.leaving && !notice.backoff_ms) {
     return backoff;
--- a/src/core/relay/runner_backoffs.h
+++ b/src/core/relay/runner_backoffs.h
@@ -1,5 +1,5 @@
 /// @file
-/// Until when runners want no requests from this relay, as they said themselves.
+/// Backoffs that runners requested from this relay.
 #pragma once
 
 #include <cstddef>
@@ -11,28 +11,30 @@
 
 namespace workshatch::relay {
 
-/// Until when one runner wants no requests from this relay.
+/// Backoff that one runner requested from this relay.
 struct RunnerBackoff {
   Backoff time;
-  /// It is leaving: it wants none until its process ends.
+  /// The runner is leaving: the backoff lasts until its process ends.
   bool leaving = false;
 
   bool holds(int64_t now_ms) const { return leaving || time.isActive(now_ms); }
 };
 
-/// The backoffs of all runners, by the fingerprint of a runner's life.
+/// The backoffs of all runners, by the fingerprint of the runner's incarnation.
 ///
-/// Guarantee: a backoff holds until it is over, also when the runner is missing from a list of
-/// runners in between, and ends with the runner's life, whose successor has another fingerprint.
+/// Guarantee: a backoff stays in force until it is over, also if the runner is temporarily missing
+/// from the list of runners. It ends with the runner's process, because the next process has
+/// another fingerprint.
 ///
-/// Times are milliseconds of the monotonic clock, which counts the machine's sleep. Not safe for
-/// concurrent use.
+/// Times are milliseconds of the monotonic clock, which includes the time that the machine was
+/// suspended. Not safe for concurrent use.
 class RunnerBackoffs {
 public:
-  /// Takes what an answer says. @return what holds from here on.
-  RunnerBackoff note(uint64_t incarnation, const RunnerNotice& notice, int64_t now_ms);
+  /// Records the notice of a response.
+  /// @return the backoff in force after it.
+  RunnerBackoff record(uint64_t incarnation, const RunnerNotice& notice, int64_t now_ms);
 
-  /// @return what the runner asked for; nothing of it holds when it did not ask.
+  /// @return the backoff of the runner; one that is not in force if the runner requested none.
   RunnerBackoff find(uint64_t incarnation) const;
 
   size_t size() const { return backoffs_.size(); }
--- a/src/core/relay/runner_choice.cc
+++ b/src/core/relay/runner_choice.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The choice of a runner: by what owners are asked for, or by sums of loads.
+/// Implements the choice of a runner in RunnerTable: by slot owners, or by load totals.
 #include <algorithm>
 #include <cmath>
 #include <iterator>
@@ -12,9 +12,10 @@
 
 namespace {
 
-/// Runners that are ranked for a prompt where owners are asked: more than are ever asked for one.
+/// Number of runners ranked for a prompt when slot owners are used: more than are ever tried for
+/// one prompt.
 constexpr size_t kMaxRankedForOwners = 16;
-/// Fineness of the lots by which relays share a place.
+/// Resolution of the random draw by which relays share the free slots of a runner.
 constexpr uint64_t kDrawSteps = 1024;
 
 bool isExcluded(const RunnerRequest& request, const Runner& runner) {
@@ -41,12 +42,13 @@
     if (!open || !isHome(request.home_regions, *runner) || isExcluded(request, *runner)) {
       continue;
     }
-    // Not even as the last resort: what a runner asks for is no guess of this relay.
+    // A runner that requested a backoff is not even a last resort: its request is explicit, unlike
+    // this relay's own estimates.
     if (isBackingOff(*runner, request.now_ms)) {
       ++candidate_set.backing_off;
       continue;
     }
-    // Only an owner keeps the pace of a cold runner.
+    // Only a slot owner limits the rate of requests to a cold runner.
     const bool unpaced = (request.ignores_limits || !request.uses_slot_owners) &&
                          coldMs(*runner, request.now_ms) != 0;
     const bool last = unpaced || runner->version_unconfirmed || isAvoided(*runner, request.now_ms);
@@ -63,20 +65,20 @@
   return candidate_set;
 }
 
-/// A version on trial gets its share on as few of its runners as bear it, so that these are as
-/// loaded as those of the former version: some faults show under load only.
+/// Limits a version on trial to as few of its runners as its share of the requests needs. These are
+/// then as loaded as the runners of the former version, because some faults only show under load.
 void RunnerTable::keepTrialRunners(const RunnerRequest& request, Candidates& candidates) const {
   const Candidates& all = services_.at(request.service).runners;
   const v1::Rollout& rollout = *rollouts_.findRollout(request.service);
   const auto former = std::count_if(all.begin(), all.end(), [&](const auto& runner) {
     return runner->entry.version() != rollout.target_version();
   });
-  const auto wanted =
+  const auto needed =
       static_cast<size_t>(std::ceil(options_.trial_share * static_cast<double>(former)));
   std::sort(candidates.begin(), candidates.end(), [](const auto& left, const auto& right) {
     return left->fingerprint < right->fingerprint;
   });
-  candidates.resize(std::min(candidates.size(), std::max<size_t>(wanted, 1)));
+  candidates.resize(std::min(candidates.size(), std::max<size_t>(needed, 1)));
 }
 
 double RunnerTable::meanLoad(const Candidates& candidates) {
@@ -87,8 +89,9 @@
   return static_cast<double>(total) / static_cast<double>(candidates.size());
 }
 
-/// The mean that the load cap follows: of the candidates and of the service's runners that are held
-/// back by an evacuation, a rollout or themselves, which count in the operators' bound as well.
+/// Mean load for the load cap. It covers the candidates and those runners of the service that get
+/// no requests because of an evacuation, a rollout or their own backoff, because the operators'
+/// bound counts these as well.
 double RunnerTable::meanForCap(const RunnerRequest& request, const Candidates& candidates) const {
   uint64_t load = 0;
   size_t counted = candidates.size();
@@ -106,10 +109,13 @@
   return static_cast<double>(load) / static_cast<double>(counted);
 }
 
-/// All relays see the same sums: if each took all that was free, a runner would get it once from
-/// each. So where more is asked between two sums than was free, a request takes a place with the
-/// chance that lets all relays together take what was free; where a runner was too full, each relay
-/// gives back its part of what was too much.
+/// Decides whether this relay may use a free slot of the runner until the next load totals arrive.
+///
+/// All relays receive the same totals. If each relay filled all free slots, the runner would get
+/// that many requests from each of them. If more requests are expected between two totals than
+/// slots were free, a request is therefore admitted with the probability at which all relays
+/// together fill the free slots. If the runner was overloaded, each relay sheds its share of the
+/// excess.
 bool RunnerTable::isWithinShare(const RunnerRequest& request, const Runner& runner,
                                 uint32_t limit) const {
   const uint32_t own = runner.in_progress_at_totals;
@@ -126,28 +132,29 @@
   return draw_fraction < chance;
 }
 
-/// Requests that all relays together have for a runner of the service between two sums, as far as
-/// this relay's own requests tell.
+/// Estimates how many requests all relays together send to a runner of the service between two load
+/// totals, by this relay's own requests.
 double RunnerTable::expectedRequestsPerRunner(const std::string& service) const {
   const auto found = services_.find(service);
   if (found == services_.end() || found->second.runners.empty()) {
     return 0;
   }
-  const uint32_t asked =
+  const uint32_t requests =
       std::max(found->second.requests_before_totals, found->second.requests_since_totals);
-  return static_cast<double>(asked) * static_cast<double>(relays_) /
+  return static_cast<double>(requests) * static_cast<double>(relays_) /
          static_cast<double>(found->second.runners.size());
 }
 
-/// While most places of the service are free, a home may have a few requests more than places: they
-/// wait there for less time than it takes to read their prompts elsewhere.
+/// Highest load up to which the request may be sent to the runner. While most slots of the service
+/// are free, a home may get a few requests more than it has slots: queueing there takes less time
+/// than reading the prompt on another runner.
 uint32_t RunnerTable::loadLimitFor(const RunnerRequest& request, const Runner& runner,
                                    bool busy) const {
-  const uint32_t places = runner.entry.slots();
-  if (!busy && request.engine && places != 0) {
-    return places + static_cast<uint32_t>(options_.leave_slack);
+  const uint32_t slots = runner.entry.slots();
+  if (!busy && request.engine && slots != 0) {
+    return slots + static_cast<uint32_t>(options_.spill_slack);
   }
-  return slotLimit(options_.places, places, request.engine, request.rank);
+  return slotLimit(options_.slot_limits, slots, request.engine, request.rank);
 }
 
 bool RunnerTable::hasFreeSlot(const RunnerRequest& request, const Runner& runner, bool busy) const {
@@ -158,20 +165,21 @@
   if (runner.load() >= limit || runner.full_until_ms > request.now_ms) {
     return false;
   }
-  // A plain service's requests end many times between two sums: what was free then says little.
+  // Requests of a plain service are shorter than the interval between two load totals, so the
+  // number of slots that were free then says little.
   const bool shared = options_.policy.shared_places && request.engine;
   return !shared || isWithinShare(request, runner, limit);
 }
 
-/// @return whether most of the places of these runners are taken.
+/// @return whether the load of these runners is over `busy_fraction` of their slots.
 bool RunnerTable::isBusy(const Candidates& candidates) const {
   uint64_t load = 0;
-  uint64_t places = 0;
+  uint64_t slots = 0;
   for (const auto& runner : candidates) {
     load += runner->load();
-    places += runner->entry.slots();
+    slots += runner->entry.slots();
   }
-  return static_cast<double>(load) > options_.busy_fraction * static_cast<double>(places);
+  return static_cast<double>(load) > options_.busy_fraction * static_cast<double>(slots);
 }
 
 std::variant<RunnerChoice, NoRunner> RunnerTable::choose(const RunnerRequest& request) {
@@ -216,7 +224,8 @@
   return least_ms;
 }
 
-/// Without sums the mean is not known: there is no cap then.
+/// Load cap where slot owners count the load. Without load totals the mean is not known, and there
+/// is no cap.
 std::optional<uint32_t> RunnerTable::ownerLoadCap(const RunnerRequest& request,
                                                   const Candidates& candidates) const {
   if (totals_received_ms_ == 0) {
@@ -226,7 +235,7 @@
                                options_.owner_cap_slack);
 }
 
-/// The next runner whose owner is asked for a place.
+/// Chooses the next runner whose slot owner is to be asked for a slot.
 std::optional<RunnerChoice> RunnerTable::chooseOffer(const RunnerRequest& request,
                                                      const Candidates& candidates, bool by_prompt,
                                                      bool busy) const {
@@ -256,7 +265,7 @@
                                                             Candidates candidates, bool by_prompt,
                                                             bool busy) const {
   if (by_prompt && busy && options_.policy.few_homes && !request.ignores_limits) {
-    // To read a long part anew on yet another runner takes more of it than the request itself.
+    // Reading a long prefix again on another runner costs more of its time than the request itself.
     candidates.resize(std::min(candidates.size(), options_.busy_homes));
   }
   std::erase_if(candidates,
@@ -271,12 +280,13 @@
                                         const Candidates& ranked) const {
   const double mean = meanLoad(ranked);
   const double cap = options_.cap_factor * meanForCap(request, ranked) + options_.cap_slack;
-  const double leave = std::min(options_.leave_factor * mean + options_.leave_slack, cap);
+  const double spill_load = std::min(options_.spill_factor * mean + options_.spill_slack, cap);
   RunnerChoice choice;
-  // The further a runner ranks, the less likely it has the part: the first with room, not the least
-  // loaded, so that a part in demand comes to as few runners as it needs.
+  // The lower a runner ranks, the less likely it has the prefix cached. Taking the first runner
+  // with free capacity, and not the least loaded one, keeps a popular prefix on as few runners as
+  // possible.
   for (const auto& runner : ranked) {
-    if (runner->load() + 1 <= leave) {
+    if (runner->load() + 1 <= spill_load) {
       choice.runner = runner;
       return choice;
     }
@@ -307,7 +317,8 @@
 RunnerChoice RunnerTable::chooseByLoad(const RunnerRequest& request,
                                        const Candidates& candidates) const {
   const auto costOf = [&](const Runner& runner) {
-    // A runner of another zone must be less loaded by one request to be worth the way.
+    // A runner of another zone must have at least one request less to be worth the longer network
+    // path.
     const bool near = runner.entry.zone() == request.zone || !options_.policy.own_zone_first;
     const uint32_t distance = near ? 0 : 1;
     return runner.load() + distance;
--- a/src/core/relay/runner_crash_counts.cc
+++ b/src/core/relay/runner_crash_counts.cc
@@ -10,18 +10,20 @@
 
 namespace {
 
-/// Reports of one end by several relays lie this close together: a relay's way to the leader, and
-/// the look at the runner's address (300 ms at most). A new process takes longer to start and to
-/// run the request.
+/// Reports of one crash by several relays arrive this close together: the delay from a relay to the
+/// leader, plus the probe of the runner's address (300 ms at most). A new process takes longer to
+/// start and to run the request.
 constexpr int64_t kSameCrashMs = 1000;
-/// All relays that saw the last end have reported it by then, so that the requests which were there
-/// can be compared: some ways between zones, and the look at an address that refuses at once.
+/// Time within which all relays that saw a crash have reported it, so that the requests present at
+/// it can be compared: some delays between zones, plus the probe of an address that refuses at
+/// once.
 constexpr int64_t kReportsCompleteMs = 60;
-/// An order that has not come into force is given again after this: a few rounds of the group.
+/// Time after which an order that has not taken effect is given again: a few rounds of the group.
 constexpr int64_t kOrderRetryMs = 500;
-/// A request that ran whole is not held to have ended a runner within this time.
+/// Time for which crashes are not held against a request after it completed.
 constexpr int64_t kCompletedRetentionMs = 60'000;
-/// Requests counted at most: those of some 200 ends with 20 each; some 600 kB.
+/// Maximum number of requests counted: those of some 200 crashes with 20 requests each, some 600
+/// kB.
 constexpr size_t kMaxRequests = 4096;
 
 } // namespace
@@ -30,15 +32,15 @@
   for (const v1::RequestIdentity& request : renewal.ran_whole()) {
     addCompleted(identityOf(request), now_ms);
   }
-  for (const v1::RunnerEnd& told : renewal.runner_ends()) {
-    addCrash(told, now_ms);
+  for (const v1::RunnerEnd& report : renewal.runner_ends()) {
+    addCrash(report, now_ms);
   }
 }
 
-/// @return the number of the end that the report is of; a new one if it is of none so far.
+/// @return the number of the reported crash; a new number if it was not reported before.
 uint64_t RunnerCrashCounts::crashNumberFor(uint64_t runner, int64_t crashed_ms) {
-  for (const auto& [number, end] : crashes_) {
-    if (end.runner == runner && std::abs(end.crashed_ms - crashed_ms) < kSameCrashMs) {
+  for (const auto& [number, crash] : crashes_) {
+    if (crash.runner == runner && std::abs(crash.crashed_ms - crashed_ms) < kSameCrashMs) {
       return number;
     }
   }
@@ -46,15 +48,15 @@
   return next_crash_++;
 }
 
-void RunnerCrashCounts::addCrash(const v1::RunnerEnd& told, int64_t now_ms) {
-  const RequestIdentity request = identityOf(told.request());
-  if (completed_.contains(request) || told.age_ms() >= kCrashWindowMs) {
+void RunnerCrashCounts::addCrash(const v1::RunnerEnd& report, int64_t now_ms) {
+  const RequestIdentity request = identityOf(report.request());
+  if (completed_.contains(request) || report.age_ms() >= kCrashWindowMs) {
     return;
   }
   if (requests_.size() >= kMaxRequests && !requests_.contains(request)) {
     evictOne();
   }
-  const uint64_t number = crashNumberFor(told.runner(), now_ms - told.age_ms());
+  const uint64_t number = crashNumberFor(report.runner(), now_ms - report.age_ms());
   RequestCrashes& counted = requests_[request];
   if (counted.crashes.insert(number).second) {
     counted.last_report_ms = now_ms;
@@ -69,45 +71,47 @@
   completed_[request] = now_ms;
   reports_due_ms_ = now_ms;
   requests_.erase(request);
-  for (auto& [number, end] : crashes_) {
-    if (end.cause == request) {
-      end.cause.reset();
+  for (auto& [number, crash] : crashes_) {
+    if (crash.cause == request) {
+      crash.cause.reset();
     }
   }
 }
 
 bool RunnerCrashCounts::inQuarantine(const RequestIdentity& request) const {
-  const auto& held = quarantine_.requests();
-  return std::any_of(held.begin(), held.end(), [&](const v1::QuarantinedRequest& entry) {
+  const auto& entries = quarantine_.requests();
+  return std::any_of(entries.begin(), entries.end(), [&](const v1::QuarantinedRequest& entry) {
     return identityOf(entry.request()) == request;
   });
 }
 
-/// Names the request as the cause of its ends, which then count against no other.
+/// Sets the request as the cause of its crashes, which then count against no other request.
 void RunnerCrashCounts::setCause(const RequestIdentity& request) {
   for (const uint64_t number : requests_.at(request).crashes) {
-    const auto end = crashes_.find(number);
-    if (end != crashes_.end() && !end->second.cause) {
-      end->second.cause = request;
+    const auto crash = crashes_.find(number);
+    if (crash != crashes_.end() && !crash->second.cause) {
+      crash->second.cause = request;
     }
   }
 }
 
-/// @return the ends at which the request was running and none in quarantine is known to have been.
+/// @return the crashes at which the request was running, except those with another request in
+/// quarantine as their cause.
 RunnerCrashCounts::CrashSet
 RunnerCrashCounts::crashesHeldAgainst(const RequestIdentity& request) const {
-  CrashSet held;
+  CrashSet result;
   for (const uint64_t number : requests_.at(request).crashes) {
-    const auto end = crashes_.find(number);
-    const bool own = end != crashes_.end() && (!end->second.cause || end->second.cause == request);
+    const auto crash = crashes_.find(number);
+    const bool own =
+        crash != crashes_.end() && (!crash->second.cause || crash->second.cause == request);
     if (own) {
-      held.insert(number);
+      result.insert(number);
     }
   }
-  return held;
+  return result;
 }
 
-/// @return whether no other request was running at all of these ends.
+/// @return whether no other request was running at all of these crashes.
 bool RunnerCrashCounts::isOnlyCommonRequest(const RequestIdentity& request,
                                             const CrashSet& crashes) const {
   return std::none_of(requests_.begin(), requests_.end(), [&](const auto& entry) {
@@ -117,7 +121,7 @@
   });
 }
 
-/// Drops the request with the fewest ends, of these the one that was reported longest ago.
+/// Drops the request with the fewest crashes; among several, the one that was reported longest ago.
 void RunnerCrashCounts::evictOne() {
   const auto least =
       std::min_element(requests_.begin(), requests_.end(), [](const auto& left, const auto& right) {
@@ -141,7 +145,8 @@
                 [&](const auto& entry) { return now_ms - entry.second >= kOrderRetryMs; });
 }
 
-/// Adds orders to take requests out: those that ran whole, and those whose time is over.
+/// Adds orders to release requests from quarantine: those that completed, and those whose time in
+/// quarantine is over.
 void RunnerCrashCounts::addReleases(std::vector<v1::QuarantineOrder>& orders, int64_t now_ms,
                                     uint64_t wall_ms) {
   for (const v1::QuarantinedRequest& entry : quarantine_.requests()) {
@@ -168,7 +173,8 @@
   return counted.crashes.size() >= kCrashesForQuarantine && !inQuarantine(request);
 }
 
-/// @return whether a request that may be blamed was told of at its last end just now.
+/// @return whether the last crash of a suspected request was reported so recently that further
+/// reports of it may follow.
 bool RunnerCrashCounts::waitsForReports(int64_t now_ms) const {
   return std::any_of(requests_.begin(), requests_.end(), [&](const auto& entry) {
     return now_ms - entry.second.last_report_ms < kReportsCompleteMs &&
@@ -176,7 +182,7 @@
   });
 }
 
-/// @return the requests that are to be put into quarantine.
+/// @return the requests to put into quarantine.
 std::vector<RunnerCrashCounts::Culprit> RunnerCrashCounts::findCulprits(int64_t now_ms) const {
   std::vector<Culprit> culprits;
   for (const auto& [request, counted] : requests_) {
@@ -184,7 +190,7 @@
       continue;
     }
     const CrashSet crashes = crashesHeldAgainst(request);
-    // Of the last end some relays may not have told yet.
+    // Some relays may not have reported the last crash yet.
     const bool complete = now_ms - counted.last_report_ms >= kReportsCompleteMs;
     const bool enough = crashes.size() >= kCrashesWithoutComparison ||
                         (crashes.size() >= kCrashesForQuarantine && complete &&
--- a/src/core/relay/runner_crash_monitor.cc
+++ b/src/core/relay/runner_crash_monitor.cc
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// A cut and a refusal this close together are of one end: a connection takes 300 ms at most to be
-/// refused, and a new process takes longer than this to listen again.
+/// A disconnect and a refused connection within this time belong to the same crash: a connection
+/// takes at most 300 ms to be refused, and a new process takes longer than this to listen again.
 constexpr int64_t kSameCrashMs = 1000;
-/// A runner that keeps breaking answers off is looked at once in this time, since each look costs
-/// it a new connection.
+/// Minimum time between two probes of a runner that keeps breaking off responses, because each
+/// probe costs it a new connection.
 constexpr int64_t kProbeIntervalMs = 500;
-/// Reports of one relay, at most: 20 ends with twelve requests each.
+/// Maximum number of reports of one relay: 20 crashes with twelve requests each.
 constexpr size_t kMaxReports = 256;
 
 } // namespace
@@ -92,8 +92,8 @@
 
 void RunnerCrashMonitor::fill(v1::LeaseRenewal& renewal, bool first_on_link, int64_t now_ms) {
   dropExpired(now_ms);
-  const size_t told = first_on_link ? 0 : reports_.size() - unreported_;
-  for (size_t i = told; i < reports_.size(); ++i) {
+  const size_t first_unsent = first_on_link ? 0 : reports_.size() - unreported_;
+  for (size_t i = first_unsent; i < reports_.size(); ++i) {
     v1::RunnerEnd* end = renewal.add_runner_ends();
     *end->mutable_request() = messageOf(reports_[i].request);
     end->set_runner(reports_[i].runner);
--- a/src/core/relay/runner_crash_monitor.h
+++ b/src/core/relay/runner_crash_monitor.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which requests were in progress at runners whose processes ended, as one relay sees it.
+/// Detects at one relay which requests were in progress at a runner whose process crashed.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +14,42 @@
 
 namespace workshatch::relay {
 
-/// Tells runners that ended from runners that only broke an answer off.
+/// Distinguishes runners that crashed from runners that only broke off a response.
 ///
-/// A runner whose process ends cuts all its connections, and its address then refuses new ones. A
-/// runner that spoils or breaks off an answer goes on listening; a machine without power, or behind
-/// a cut, says nothing at all. So a request is said to have been there when a runner ended only
-/// where both were seen close together: its connection was cut, and the address refused another.
-/// Requests that ran whole lately are never reported.
+/// When a runner's process ends, all its connections are closed, and its address refuses new ones.
+/// A runner that breaks off or corrupts a response keeps listening. A machine that lost power or
+/// its network sends nothing at all. A request is therefore reported as present at a crash only if
+/// both were observed within a short time: its connection was closed, and the address refused
+/// another one. Requests that completed recently are never reported.
 ///
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
 class RunnerCrashMonitor {
 public:
-  /// A request in progress at a runner whose process ended.
+  /// A request that was in progress at a runner whose process crashed.
   struct Report {
     RequestIdentity request;
-    /// Fingerprint of the runner's life.
+    /// Fingerprint of the runner's incarnation.
     uint64_t runner = 0;
     int64_t crashed_ms = 0;
   };
 
-  /// What is to be done next about a cut.
+  /// What the caller is to do after a disconnect.
   enum class AfterDisconnect {
     Nothing,
-    /// It shall be found out now if the runner's address still takes connections.
+    /// Probe now whether the runner's address still accepts connections.
     Probe,
-    /// There is something to report.
+    /// Send the new report to the leader.
     Report,
   };
 
-  /// Notes that the runner cut the connection of a request in progress.
+  /// Records that the runner closed the connection of a request in progress.
   AfterDisconnect recordDisconnect(uint64_t runner, const RequestIdentity& request, int64_t now_ms);
 
-  /// Notes that the runner's address refused a connection.
-  /// @return whether there is something to report.
+  /// Records that the runner's address refused a connection.
+  /// @return whether there is a new report for the leader.
   bool recordConnectionRefused(uint64_t runner, int64_t now_ms);
 
-  /// Notes that the runner's address took a connection: its process has not ended.
+  /// Records that the runner's address accepted a connection: its process has not ended.
   void recordListening(uint64_t runner);
 
   void recordCompleted(const RequestIdentity& request, int64_t now_ms) {
@@ -59,8 +59,9 @@
     return completed_.contains(request, now_ms);
   }
 
-  /// Adds to a renewal what the leader has not been told.
-  /// @param first_on_link the leader may be another one, that has been told nothing
+  /// Adds to a lease renewal the reports that the leader has not received.
+  /// @param first_on_link this is the first renewal on a link, so that the leader may be a new one,
+  /// without any reports
   void fill(v1::LeaseRenewal& renewal, bool first_on_link, int64_t now_ms);
 
 private:
@@ -69,11 +70,11 @@
     int64_t disconnected_ms = 0;
   };
   struct Suspect {
-    /// Cuts of which it is not known whether the runner ended.
+    /// Disconnects for which it is unknown whether the runner crashed.
     std::vector<Disconnect> disconnects;
-    /// When the address last refused a connection; empty: not lately.
+    /// When the address last refused a connection; empty: not recently.
     std::optional<int64_t> refused_ms;
-    /// When it was last looked at; empty: never.
+    /// When the address was last probed; empty: not recently.
     std::optional<int64_t> probed_ms;
   };
 
@@ -81,11 +82,11 @@
   void dropExpired(int64_t now_ms);
 
   CompletedRequests completed_;
-  /// By fingerprint of the runner's life.
+  /// By fingerprint of the runner's incarnation.
   std::map<uint64_t, Suspect> suspects_;
   /// Oldest first.
   std::deque<Report> reports_;
-  /// The last so many of `reports_` were not told on the present link.
+  /// Number of reports at the end of `reports_` that were not sent on the present link.
   size_t unreported_ = 0;
 };
 
--- a/src/core/relay/runner_entry.cc
+++ b/src/core/relay/runner_entry.cc
@@ -28,7 +28,7 @@
 
 uint64_t fingerprintOf(const v1::RunnerEntry& entry) {
   std::string text;
-  // A byte that no field holds ends each of them.
+  // Each field is terminated by a byte that occurs in no field.
   for (const std::string* field :
        {&entry.id(), &entry.service(), &entry.address(), &entry.zone(), &entry.version()}) {
     text.append(*field).push_back('\0');
--- a/src/core/relay/runner_incarnation.cc
+++ b/src/core/relay/runner_incarnation.cc
@@ -8,7 +8,7 @@
   if (born_ms == 0) {
     return routing::fingerprintOf(id);
   }
-  // A byte that no id holds stands between the two.
+  // The separator is a byte that occurs in no id.
   return routing::fingerprintOf(id + '\0' + std::to_string(born_ms));
 }
 
--- a/src/core/relay/runner_incarnation.h
+++ b/src/core/relay/runner_incarnation.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which process of a runner is meant.
+/// Identifies one process of a runner, as opposed to earlier or later processes under the same id.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,26 @@
 
 namespace workshatch::relay {
 
-/// One process of a runner, from its start to its end. A runner that starts again under its id
-/// holds nothing and knows nothing of before.
+/// One process of a runner, from its start to its end. A runner that restarts under its id has lost
+/// its requests and cached prefixes.
 ///
-/// All that is kept of a runner is kept under its life's fingerprint, so that it ends with the
-/// life: entries of the table of runners, load sums, places and pace at owners, parts of prompts,
-/// ends of runners. A message about a former life names another fingerprint and changes nothing of
-/// the present one.
+/// All state about a runner is kept under the fingerprint of its incarnation, so that it ends with
+/// the process: entries of the runner table, load totals, slots and request rates at slot owners,
+/// prompt prefixes, and crashes. A message about a former incarnation carries another fingerprint
+/// and does not change the state of the present one.
 struct RunnerIncarnation {
   std::string id;
-  /// When the process started, milliseconds since the epoch; zero: not told. Only compared for
-  /// being the same: wall clocks may step back between two starts.
+  /// When the process started, milliseconds since the epoch; zero: unknown. Only compared for
+  /// equality, because wall clocks may step back between two starts.
   uint64_t born_ms = 0;
 
-  /// @return never zero; that of a life without a told start is the id's alone.
+  /// @return a fingerprint that is never zero. If the start is unknown, it depends on the id alone.
   uint64_t fingerprint() const;
 };
 
 RunnerIncarnation incarnationOf(const v1::RunnerEntry& entry);
 
-/// @return whether two entries are of one process.
+/// @return whether two entries describe the same process.
 inline bool sameIncarnation(const v1::RunnerEntry& left, const v1::RunnerEntry& right) {
   return left.id() == right.id() && left.born_ms() == right.born_ms();
 }
--- a/src/core/relay/runner_list_history.cc
+++ b/src/core/relay/runner_list_history.cc
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr size_t kMaxLists = 8;
-/// Entries from which an update is compressed.
+/// Minimum number of entries for compressing an update.
 constexpr int kMinCompressedEntries = 20;
 
-/// Both lists are sorted by id.
+/// Both lists must be sorted by id.
 v1::RunnerListUpdate differenceOf(const v1::RunnerList& base, const v1::RunnerList& target) {
   v1::RunnerListUpdate update;
   auto old = base.runners().begin();
@@ -139,7 +139,7 @@
   v1::RunnerList changed;
   if (update.has_more_changed() &&
       !compression::decompressMessage(update.more_changed(), changed)) {
-    return Error{"the update is damaged"};
+    return Error{"the compressed entries of the runner list update are damaged"};
   }
   changed.mutable_runners()->MergeFrom(update.changed());
   return changed;
@@ -149,7 +149,7 @@
   if (update.base_version() == 0) {
     base.clear_runners();
   } else if (base.version() != update.base_version()) {
-    return Error{"the update is for another list"};
+    return Error{"the runner list update is based on another version"};
   }
   const Result<v1::RunnerList> read = changedEntries(update);
   if (isError(read)) {
--- a/src/core/relay/runner_loads.cc
+++ b/src/core/relay/runner_loads.cc
@@ -9,7 +9,7 @@
   loads.clear_in_progress();
   const auto busy =
       counts.size() - static_cast<size_t>(std::count(counts.begin(), counts.end(), uint32_t{0}));
-  // A named runner takes two numbers.
+  // A runner takes two numbers in the sparse form: its position and its count.
   const bool sparse = 2 * busy < counts.size();
   uint32_t next = 0;
   for (uint32_t position = 0; position < counts.size(); ++position) {
@@ -25,15 +25,15 @@
 }
 
 std::optional<std::vector<uint32_t>> countsOf(const v1::RunnerLoads& loads, size_t runners) {
-  const auto told = static_cast<size_t>(loads.in_progress_size());
-  const bool sparse = loads.positions_size() != 0 || told == 0;
+  const auto encoded = static_cast<size_t>(loads.in_progress_size());
+  const bool sparse = loads.positions_size() != 0 || encoded == 0;
   if (!sparse) {
-    if (told != runners) {
+    if (encoded != runners) {
       return std::nullopt;
     }
     return std::vector<uint32_t>(loads.in_progress().begin(), loads.in_progress().end());
   }
-  if (static_cast<size_t>(loads.positions_size()) != told) {
+  if (static_cast<size_t>(loads.positions_size()) != encoded) {
     return std::nullopt;
   }
   std::vector<uint32_t> counts(runners, 0);
--- a/src/core/relay/runner_loads.h
+++ b/src/core/relay/runner_loads.h
@@ -1,5 +1,6 @@
 /// @file
-/// Requests in progress by runner, as they travel between relays and the leader.
+/// Encodes and decodes the requests in progress per runner in messages between relays and the
+/// leader.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +11,12 @@
 
 namespace workshatch::relay {
 
-/// Writes counts, one for each runner of a list. Where most are zero, only the others are named, so
-/// that a report grows with the work in progress and not with the fleet.
+/// Writes the counts of all runners of a list. If most are zero, only the others are written, with
+/// their positions, so that the size of a report grows with the work in progress and not with the
+/// fleet.
 void setCounts(v1::RunnerLoads& loads, const std::vector<uint32_t>& counts);
 
-/// @return a count for each of `runners`, or nothing when `loads` is about a list of other length.
+/// @return a count for each of `runners`, or nothing if `loads` does not fit a list of that length.
 std::optional<std::vector<uint32_t>> countsOf(const v1::RunnerLoads& loads, size_t runners);
 
 } // namespace workshatch::relay
--- a/src/core/relay/runner_notice.h
+++ b/src/core/relay/runner_notice.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a runner tells of itself with an answer, decoded.
+/// Decoded state that a runner reports about itself in a response.
 #pragma once
 
 #include <cstdint>
@@ -7,28 +7,28 @@
 
 namespace workshatch::relay {
 
-/// How busy a runner is.
+/// Load of a runner.
 struct RunnerLoad {
   uint32_t running = 0;
   uint32_t waiting = 0;
   uint32_t slots = 0;
-  /// How long its work takes at this moment, as a multiple of the usual time: it shares its machine
-  /// with others. Nothing: not told, or not to be believed.
+  /// Present duration of work as a multiple of the usual duration, because the runner shares its
+  /// machine with others. Empty: not reported, or not plausible.
   std::optional<double> work_time_factor;
-  /// A figure was told that no runner can have.
+  /// The reported work time factor was not plausible.
   bool work_time_rejected = false;
 };
 
-/// All that an answer says of the runner and of further requests to it. Milliseconds count from the
-/// answer.
+/// All that a response reports about the runner and about further requests to it. Times are
+/// milliseconds from the arrival of the response.
 struct RunnerNotice {
-  /// It is about to end and wants no further requests.
+  /// The runner is about to stop and requests that no further requests are sent.
   bool leaving = false;
-  /// It wants no requests from this relay for so long. Nothing: it did not say.
+  /// Time for which the runner requests that this relay sends nothing. Empty: none requested.
   std::optional<uint32_t> backoff_ms;
-  /// It asked for a backoff in words that can't be read.
+  /// The runner requested a backoff in a form that can't be parsed.
   bool backoff_rejected = false;
-  /// It stays cold for so long. Nothing: it did not say.
+  /// Time for which the runner remains cold. Empty: not reported.
   std::optional<uint32_t> cold_ms;
   std::optional<RunnerLoad> load;
 };
--- a/src/core/relay/runner_table.cc
+++ b/src/core/relay/runner_table.cc
@@ -16,13 +16,13 @@
 
 /// Weight of the newest attempt in the failure rate.
 constexpr double kNewestWeight = 0.15;
-/// A runner is suspect when its failure rate is over twice its service's mean plus this.
+/// Number of failures in a row after which a runner is avoided.
 constexpr uint32_t kFailuresToAvoid = 3;
 constexpr int64_t kAvoidUnreachableMs = 500;
 constexpr int64_t kMaxAvoidMs = 4000;
 constexpr int64_t kAvoidFailingMs = 1000;
-/// A full runner is left alone for a moment; for a shorter one where few requests are known to be
-/// there, since it may decline for a reason that has passed already.
+/// Time for which a runner that declined a request counts as full. The time is shorter if few
+/// requests are known to be there, because the reason for declining may have passed already.
 constexpr int64_t kFullMs = 100;
 constexpr int64_t kFullWhileIdleMs = 20;
 constexpr int64_t kAvoidMisdirectedMs = 5000;
@@ -37,15 +37,15 @@
   return left->entry.id() < right->entry.id();
 }
 
-/// @return the runner with this id in a list in the order of ids; null: none.
+/// @return the runner with this id in a list that is sorted by id; null: none.
 std::shared_ptr<Runner> findById(const std::vector<std::shared_ptr<Runner>>& runners,
                                  const std::string& id) {
-  const auto place =
+  const auto position =
       std::lower_bound(runners.begin(), runners.end(), id,
-                       [](const std::shared_ptr<Runner>& runner, const std::string& wanted) {
-                         return runner->entry.id() < wanted;
+                       [](const std::shared_ptr<Runner>& runner, const std::string& searched) {
+                         return runner->entry.id() < searched;
                        });
-  return place != runners.end() && (*place)->entry.id() == id ? *place : nullptr;
+  return position != runners.end() && (*position)->entry.id() == id ? *position : nullptr;
 }
 
 } // namespace
@@ -53,7 +53,7 @@
 std::shared_ptr<Runner> RunnerTable::runnerFor(std::shared_ptr<Runner> known,
                                                const v1::RunnerEntry& entry,
                                                int64_t listed_since_ms) const {
-  // A process that has started again has none of the failures, load or parts of the one before.
+  // A restarted process starts without the failures, load and cached prefixes of its predecessor.
   if (known && sameIncarnation(known->entry, entry)) {
     return known;
   }
@@ -117,7 +117,7 @@
     return std::monostate{};
   }
   if (update.base_version() != list_version_) {
-    return Error{"the update is for another list"};
+    return Error{"the runner list update is based on another version"};
   }
   const auto changed = changedEntries(update);
   if (isError(changed)) {
@@ -150,7 +150,7 @@
   return std::monostate{};
 }
 
-/// Takes the runners that are gone out of all lists, and others in.
+/// Removes delisted runners from all lists, and inserts the added ones.
 void RunnerTable::updateLists(Candidates added) {
   removeGone(runners_);
   for (auto& [service, state] : services_) {
@@ -167,7 +167,7 @@
 }
 
 void RunnerTable::applyEntry(Runner& runner, const v1::RunnerEntry& entry, int64_t now_ms) {
-  const bool came = runner.entry.id().empty() && runner.listed_since_ms != 0;
+  const bool newly_listed = runner.entry.id().empty() && runner.listed_since_ms != 0;
   const bool read_here = list_version_ == 0;
   const bool known = read_here && !runner.entry.id().empty() && !runner.version_unconfirmed &&
                      runner.entry.version() == entry.version();
@@ -175,13 +175,14 @@
   ++entries_applied_;
   runner.entry = entry;
   runner.entry_fingerprint = fingerprintOf(entry);
-  // It held when the list was read: the next update must not count it again.
+  // The cold time counts from the moment at which the list was read, so that the next update must
+  // not apply it again.
   runner.entry.clear_cold_ms();
   runner.gone = false;
   runner.region = options_.zones.regionOf(entry.zone());
   runner.evacuated = evacuated_zones_.contains(entry.zone());
   cold_runners_.recordReportedCold(runner, entry.cold_ms(), now_ms);
-  if (came) {
+  if (newly_listed) {
     cold_runners_.recordProcessStart(runner, now_ms);
   }
 }
@@ -226,19 +227,19 @@
   return list;
 }
 
-void RunnerTable::setLoadTotals(const v1::RunnerLoads& sums, const v1::RunnerLoads& reported,
+void RunnerTable::setLoadTotals(const v1::RunnerLoads& totals, const v1::RunnerLoads& reported,
                                 int64_t now_ms) {
-  const auto totals =
-      sums.list_version() == list_version_ ? countsOf(sums, runners_.size()) : std::nullopt;
-  if (!totals) {
+  const auto total_counts =
+      totals.list_version() == list_version_ ? countsOf(totals, runners_.size()) : std::nullopt;
+  if (!total_counts) {
     return;
   }
   totals_received_ms_ = now_ms;
-  const auto owns =
+  const auto own_counts =
       reported.list_version() == list_version_ ? countsOf(reported, runners_.size()) : std::nullopt;
   for (size_t i = 0; i < runners_.size(); ++i) {
-    const uint32_t total = (*totals)[i];
-    const uint32_t own = owns ? (*owns)[i] : 0;
+    const uint32_t total = (*total_counts)[i];
+    const uint32_t own = own_counts ? (*own_counts)[i] : 0;
     const bool others = options_.policy.shared_loads && total > own;
     runners_[i]->others_in_progress = others ? total - own : 0;
     runners_[i]->in_progress_at_totals = runners_[i]->in_progress;
@@ -246,7 +247,7 @@
   for (auto& [service, state] : services_) {
     state.requests_before_totals = std::exchange(state.requests_since_totals, 0);
   }
-  for (const uint32_t position : sums.suspects()) {
+  for (const uint32_t position : totals.suspects()) {
     if (position < runners_.size() && options_.policy.shared_suspicions) {
       runners_[position]->suspected_until_ms = now_ms + options_.suspicion_ms;
     }
@@ -302,8 +303,8 @@
   if (notice.load && notice.load->work_time_factor) {
     recordWorkTime(runner, *notice.load->work_time_factor, now_ms);
   }
-  runner.backoff = backoffs_.note(runner.fingerprint, notice, now_ms);
-  // The list may have lost the runner and have it again since the attempt began.
+  runner.backoff = backoffs_.record(runner.fingerprint, notice, now_ms);
+  // Since the attempt began the runner may have been removed from the list and added again.
   if (const auto listed = find(runner.fingerprint)) {
     listed->backoff = runner.backoff;
   }
--- a/src/core/relay/runner_table.h
+++ b/src/core/relay/runner_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The back ends that a relay knows, how loaded and how trustworthy each is, and the choice of one.
+/// The table of back ends at one relay: their load and health, and the choice of one for a request.
 #pragma once
 
 #include <algorithm>
@@ -33,207 +33,226 @@
 /// How an attempt at a runner ended.
 enum class AttemptOutcome {
   Succeeded,
-  /// The runner said that it did not run the request, being full.
+  /// The runner declined the request because it is full; it did not run it.
   Refused,
-  /// Another runner has the address.
+  /// The address now belongs to another runner.
   Misdirected,
   /// No connection could be made.
   Unreachable,
-  /// The runner's machine refused the connection: its process is gone.
+  /// The runner's machine refused the connection, so the process is gone.
   ProcessGone,
-  /// Not sent, since the runner was withdrawn while a connection was made; says nothing of it.
+  /// The request was not sent, because the runner was withdrawn while the connection was being
+  /// made. This is no evidence about the runner's health.
   Withdrawn,
-  /// Broken off, spoilt, or a failure of the runner's own.
+  /// The response broke off or was malformed, or the runner reported a failure of its own.
   Failed,
-  /// Ended from our side (the caller left, a time limit); says nothing of the runner.
+  /// Ended by this side (the caller disconnected, or a time limit passed). This is no evidence
+  /// about the runner's health.
   Abandoned,
 };
 
-/// What the choice of a runner depends on.
+/// Input of the choice of a runner.
 struct RunnerRequest {
   std::string service;
-  /// Fingerprint of the shared part of the prompt; zero: no runner is preferred.
+  /// Fingerprint of the shared prefix of the prompt; zero: no runner is preferred.
   uint64_t cache_key = 0;
-  /// Fingerprint of the shared part before it; zero: none.
+  /// Fingerprint of the next shorter shared prefix; zero: none.
   uint64_t parent_key = 0;
   std::string zone;
-  /// Runners that were tried already.
+  /// Ids of runners that were tried already.
   std::vector<std::string> excluded;
   int64_t now_ms = 0;
-  /// The service's runners are model engines.
+  /// The runners of the service are model engines.
   bool engine = false;
-  /// Regions in which it may run.
+  /// Regions in which the request may run.
   HomeRegions home_regions;
-  /// Its draw also breaks ties.
+  /// Its draw also breaks ties between runners.
   RequestRank rank;
-  /// It asked before and waited; counts once in what is asked of the service.
+  /// An earlier choice already counted this request, so that it is counted only once in the
+  /// requests of the service.
   bool already_counted = false;
-  /// Goes to a full runner rather than to none, as the rest of a stream that broke does.
+  /// The request may go to a full runner if there is no other. Set for resuming a broken stream.
   bool ignores_limits = false;
-  /// Owners count the places of runners, and are asked for one.
+  /// Slot owners count the load of runners, and one is asked for a slot.
   bool uses_slot_owners = false;
-  /// Owners that gave no place so far.
+  /// Number of slot owners that have refused the request so far.
   size_t refused_slots = 0;
-  /// It is one of those that a version on trial gets.
+  /// The request is one of those that go to a version on trial.
   bool trial = false;
 };
 
 struct RunnerChoice {
   std::shared_ptr<Runner> runner;
-  /// Candidates ranked before it that were passed over, being loaded or avoided.
+  /// Number of candidates ranked before it that were passed over because they were loaded or
+  /// avoided.
   uint32_t passed_over = 0;
-  /// All candidates were being avoided.
+  /// All candidates are being avoided, so that one of them is used all the same.
   bool last_resort = false;
-  /// Where owners are asked: requests in progress there, this one included, up to which a place is
-  /// taken.
+  /// Where slot owners are used: highest number of requests in progress there, this one included,
+  /// with which a slot may be granted.
   uint32_t limit = 0;
 };
 
-/// Why there is no choice.
+/// Why no runner was chosen.
 enum class NoRunner {
-  /// The service has no runner that was not tried yet.
+  /// The service has no usable runner that was not tried yet.
   NoneLeft,
-  /// All runners are as full as they may be for this request.
+  /// All runners are at their load limit for this request.
   AllFull,
-  /// All that are left asked this relay for a backoff.
+  /// All remaining runners requested a backoff from this relay.
   AllBackingOff,
 };
 
-/// Rules of the choice.
+/// Parameters of the choice of a runner.
 struct RunnerTableOptions {
-  /// No runner is given more than this multiple of its service's mean load, plus `cap_slack`: one
-  /// less than the operators' bound, for what other relays send before their loads are known here.
+  /// No runner gets more than `cap_factor` times the mean load of its service plus `cap_slack`. The
+  /// slack is one less than the operators' bound, to allow for requests of other relays that are
+  /// not known here yet.
   double cap_factor = 2;
   double cap_slack = 2;
-  /// Sums of the other relays' loads count for this long.
+  /// Time for which load totals of the other relays are valid.
   int64_t load_totals_valid_ms = 2500;
-  /// A runner with attempts in progress that sends nothing for so long is avoided: a model engine,
-  /// which sends events all the time, and any other.
+  /// A runner with attempts in progress that sends nothing for this time is avoided. Model engines
+  /// have a time of their own, because they send events continuously.
   int64_t silent_engine_ms = 500;
   int64_t silent_service_ms = 1000;
-  /// What other relays tell of a runner counts for this long.
+  /// Time for which a runner that other relays suspect is avoided.
   int64_t suspicion_ms = 600;
-  /// A runner is left for the next in a part's ranking when its load is over `leave_factor` times
-  /// the mean plus `leave_slack`.
-  double leave_factor = 1.3;
-  double leave_slack = 6;
-  SlotLimitOptions places;
+  /// A prompt goes to the next runner in the ranking of its prefix if the load of a runner is over
+  /// `spill_factor` times the mean load plus `spill_slack`.
+  double spill_factor = 1.3;
+  double spill_slack = 6;
+  SlotLimitOptions slot_limits;
   PlacementOptions placement;
-  /// Bound on the requests of a second at a cold runner: a multiple of what it bears, plus a slack.
+  /// Limit on the requests per second to a cold runner: a multiple of its sustainable rate, plus a
+  /// slack.
   double cold_factor = 1.5;
   double cold_slack = 5;
-  /// Empty: requests may run in any region.
+  /// Regions of the zones. If empty, requests may run in any region.
   ZoneRegions zones;
-  /// As `cap_slack`, where owners count the load: nothing has to be left for what is not known yet.
+  /// Like `cap_slack`, where slot owners count the load. An owner knows the whole load, so that no
+  /// allowance is needed.
   double owner_cap_slack = 3;
   Policy policy;
-  /// A service counts as busy over this part of its places. With what is kept for the more urgent,
-  /// few of the rest are free then.
+  /// A service is busy while more than this fraction of its slots is in use. Part of the remaining
+  /// slots is reserved for more urgent requests, so that few of them are free then.
   double busy_fraction = 0.85;
-  /// Part of a service's requests that a version on trial gets.
+  /// Fraction of the requests of a service that a version on trial gets.
   double trial_share = 0;
-  /// Runners that a part of a prompt may be on while the service is busy.
+  /// Number of runners that prompts with the same prefix may use while the service is busy.
   size_t busy_homes = 3;
 };
 
-/// The runners of all services. Not safe for concurrent use.
+/// The runners of all services at one relay. Times are milliseconds of the monotonic clock. Not
+/// safe for concurrent use.
 class RunnerTable {
 public:
   explicit RunnerTable(RunnerTableOptions options)
       : options_(std::move(options)), cold_runners_(options_.cold_factor, options_.cold_slack),
         rollouts_(options_.trial_share) {}
 
-  /// Takes what the configuration says of cold runners.
+  /// Sets the limits for cold runners from the configuration.
   void setServices(const std::vector<Service>& services) {
     cold_runners_.setServices(options_.policy.cold_pace ? services : std::vector<Service>());
   }
 
-  /// Replaces the zones that are evacuated. Runners of a zone that is taken back may be cold.
+  /// Replaces the list of evacuated zones. Runners of a zone that is no longer evacuated may be
+  /// cold.
   void setEvacuations(const v1::EvacuationList& evacuations, int64_t now_ms);
   uint64_t evacuationVersion() const { return evacuation_version_; }
 
-  /// The rollouts, and the trials that this relay has earned for them.
+  /// The rollouts, and this relay's budget of trial requests for them.
   RolloutGate& rollouts() { return rollouts_; }
   const RolloutGate& rollouts() const { return rollouts_; }
-  /// @return whether rollouts let a request go to the runner; `trial` as in `RunnerRequest`.
+  /// @return whether the rollouts allow a request to go to the runner; `trial` as in
+  /// `RunnerRequest`.
   bool isAdmittedByRollout(const Runner& runner, bool trial) const;
-  /// @return requests of this relay in progress at runners that the rollout moves away from.
+  /// @return number of requests of this relay in progress at runners of versions that the rollout
+  /// replaces.
   uint32_t inProgressAtFormer(const v1::Rollout& rollout) const;
 
-  /// Replaces the list; what is known of runners that stay is kept.
+  /// Replaces the list. The state of runners that stay in the list is kept.
   void setList(const v1::RunnerList& list, int64_t now_ms);
-  /// Takes what differs from the list in use: a change of a few runners costs little in a fleet of
-  /// thousands. @return an error when the update is damaged or for another list.
+  /// Applies an update to the present list. The cost of an update of a few runners stays low in a
+  /// fleet of thousands.
+  /// @return an error when the update is damaged or based on another list.
   Result<std::monostate> applyUpdate(const v1::RunnerListUpdate& update, int64_t now_ms);
-  /// Entries read from lists and updates since the start.
+  /// Number of entries read from lists and updates since the start.
   uint64_t entriesApplied() const { return entries_applied_; }
   uint64_t listVersion() const { return list_version_; }
   uint64_t listFingerprint() const { return list_fingerprint_; }
-  /// The list in use.
+  /// @return the present list.
   v1::RunnerList list() const;
 
-  /// Takes the sums over all relays, this one included, for the list that they name.
-  /// @param reported what this relay had reported itself when the sums were made
-  void setLoadTotals(const v1::RunnerLoads& sums, const v1::RunnerLoads& reported, int64_t now_ms);
+  /// Sets the load totals over all relays, this one included. Totals of another list version are
+  /// ignored.
+  /// @param reported the loads that this relay itself had reported when the totals were made
+  void setLoadTotals(const v1::RunnerLoads& totals, const v1::RunnerLoads& reported,
+                     int64_t now_ms);
 
-  /// This relay's attempts in progress and the runners that do not answer it, by position in the
-  /// list.
+  /// @return this relay's attempts in progress, and the runners that do not answer it, by position
+  /// in the list.
   v1::RunnerLoads ownLoads(int64_t now_ms) const;
 
-  /// Notes how many relays send requests to these runners.
+  /// Sets how many relays send requests to these runners.
   void setRelays(size_t relays) { relays_ = relays == 0 ? 1 : relays; }
 
-  /// @return whether the runner itself wants no requests from this relay.
+  /// @return whether the runner requested a backoff from this relay that is still in force.
   static bool isBackingOff(const Runner& runner, int64_t now_ms) {
     return runner.backoff.time.isActive(now_ms);
   }
-  /// @return milliseconds until the first of the service's runners that asked for a backoff wants
-  /// requests again; zero: none asked for one.
+  /// @return milliseconds until the earliest backoff of the service's runners ends; zero: none
+  /// requested one.
   int64_t backoffLeftMs(const std::string& service, int64_t now_ms) const;
 
   std::variant<RunnerChoice, NoRunner> choose(const RunnerRequest& request);
-  /// @return milliseconds since the sums of loads came; -1: none count.
+  /// @return age of the load totals in milliseconds; -1: there are no valid ones.
   int64_t loadTotalsAgeMs(int64_t now_ms) const {
     return totals_received_ms_ == 0 ? -1 : now_ms - totals_received_ms_;
   }
 
-  /// @return another runner that likely keeps parts of the prompt which the chosen one lacks, by
-  /// what this relay sent and by the ranking; null: none. Before `recordSent`.
+  /// @return another runner that likely has a longer prefix of the prompt cached than the chosen
+  /// one, judged by what this relay sent and by the ranking; null: none. To be called before
+  /// `recordSent`.
   std::shared_ptr<Runner> likelyPrefixSource(const RunnerRequest& request,
                                              const Runner& chosen) const;
 
-  /// Notes that the request goes to the runner chosen, which then has its shared parts.
+  /// Records that the request goes to the chosen runner, which will have its prefixes cached then.
   void recordSent(const RunnerRequest& request, const RunnerChoice& choice);
 
-  /// @return the runner with this fingerprint; null: none is listed.
+  /// @return the listed runner with this fingerprint; null: none.
   std::shared_ptr<Runner> find(uint64_t fingerprint) const;
-  /// @return whether the runner is listed and answers, so that parts can be copied from it.
+  /// @return whether the runner is listed and not avoided, so that cached prefixes can be copied
+  /// from it.
   bool isCopySource(uint64_t fingerprint, int64_t now_ms) const;
 
-  /// @return whether the regions of a request let it run at, or copy from, the runner.
+  /// @return whether the allowed regions of a request include the runner, for running there or
+  /// copying from there.
   bool isHome(const HomeRegions& regions, const Runner& runner) const {
     return options_.zones.empty() || regions.allow(runner.region);
   }
 
-  /// @return what the owner of the runner with this fingerprint knows of it.
+  /// @return what this relay, as the slot owner of the runner with this fingerprint, knows about
+  /// it.
   OwnedRunner ownedRunner(uint64_t fingerprint, int64_t now_ms) const;
 
-  /// Milliseconds for which the runner counts as cold; zero: it does not.
+  /// @return milliseconds for which the runner is still cold; zero: it is not.
   uint32_t coldMs(const Runner& runner, int64_t now_ms) const {
     return cold_runners_.coldMs(runner, now_ms);
   }
-  /// Takes what an answer of the runner says of it and of further requests to it.
+  /// Applies what a response of the runner says about the runner's state and about further requests
+  /// to it.
   void applyNotice(Runner& runner, const RunnerNotice& notice, int64_t now_ms);
-  /// Notes that the runner's owner gives no places there for a while.
+  /// Records that the runner's owner grants no slots there for `wait_ms`.
   void recordHoldBack(Runner& runner, uint32_t wait_ms, int64_t now_ms) const {
     runner.full_until_ms = std::max(runner.full_until_ms, now_ms + wait_ms);
   }
 
-  /// Notes what an owner told of a runner's load; it counts until the next sums.
+  /// Records the load of a runner as its owner reported it. It is valid until the next load totals.
   void recordLoad(Runner& runner, uint32_t load) const;
 
   void beginAttempt(Runner& runner, int64_t now_ms) const;
-  /// Notes that bytes came from the runner.
+  /// Records that bytes were received from the runner.
   void recordActivity(Runner& runner, int64_t now_ms) const { runner.last_activity_ms = now_ms; }
   void endAttempt(Runner& runner, AttemptOutcome outcome, int64_t now_ms) const;
 
@@ -249,12 +268,12 @@
   void updateLists(Candidates added);
   static void removeGone(Candidates& runners);
   static void insertSorted(Candidates& runners, Candidates added);
-  /// Runners that a request may go to.
+  /// Candidates for a request.
   struct CandidateSet {
     Candidates runners;
-    /// All of them are being avoided.
+    /// All `runners` are being avoided.
     bool last_resort = false;
-    /// Runners that the request may go to but for their backoff.
+    /// Number of runners that are left out only because of their backoff.
     size_t backing_off = 0;
   };
   CandidateSet candidatesFor(const RunnerRequest& request) const;
@@ -288,12 +307,12 @@
   uint64_t list_version_ = 0;
   uint64_t list_fingerprint_ = 0;
   uint64_t entries_applied_ = 0;
-  /// In the order of the list, which is that of the ids.
+  /// Sorted by id, as the list is.
   std::vector<std::shared_ptr<Runner>> runners_;
   std::unordered_map<uint64_t, std::shared_ptr<Runner>> by_fingerprint_;
   struct ServiceRunners {
     Candidates runners;
-    /// Requests of this relay since the last sums, and between the two before them.
+    /// Requests of this relay since the last load totals, and between those and the ones before.
     uint32_t requests_since_totals = 0;
     uint32_t requests_before_totals = 0;
   };
--- a/src/core/relay/version_comparison.cc
+++ b/src/core/relay/version_comparison.cc
@@ -10,15 +10,15 @@
 
 using Times = std::array<uint64_t, kTimeBuckets>;
 
-/// Answers of the former version from which its times are known.
+/// Minimum number of responses of the former version for knowing its usual response times.
 constexpr uint64_t kMinSamples = 20;
-/// Part of the former version's answers that are slower than its usual ones.
+/// Fraction of the former version's responses that count as slower than usual.
 constexpr double kSlowFraction = 0.05;
-/// Bad answers beyond the expected ones from which there is evidence: one runner that fails is
-/// none.
+/// Minimum excess of bad responses for evidence, so that a single failing runner is none.
 constexpr double kMinExcess = 6;
-/// An answer is late when it takes so many doublings of the former version's slower times. The
-/// first part of an answer may take longer at a version whose runners have no prompts cached yet.
+/// A response is late if it takes longer than the former version's slow responses by this number of
+/// doublings. The first part of a response is allowed more, because it may take longer at a version
+/// whose runners have no prompts cached yet.
 constexpr size_t kLateStepDoublings = 1;
 constexpr size_t kLateFirstDoublings = 2;
 
@@ -31,7 +31,7 @@
   return std::accumulate(times.begin() + static_cast<ptrdiff_t>(from), times.end(), uint64_t{0});
 }
 
-/// @return the first bucket over which at most `kSlowFraction` of the times lie.
+/// @return the first bucket above which at most `kSlowFraction` of the times lie.
 size_t slowBucketOf(const Times& times) {
   const auto allowed = static_cast<uint64_t>(kSlowFraction * static_cast<double>(sumOf(times)));
   size_t bucket = 0;
@@ -51,14 +51,14 @@
                        former_all);
 }
 
-/// One term of the likelihood ratio; nothing was seen: nothing is told.
+/// One term of the likelihood ratio; zero if nothing was observed.
 double logTerm(double seen, double expected) {
   return seen == 0 ? 0 : seen * std::log(seen / expected);
 }
 
-Evidence stronger(const Evidence& held, const Evidence& other) {
+Evidence stronger(const Evidence& current, const Evidence& other) {
   const bool counts = other.excess >= kMinExcess;
-  return counts && held.strength < other.strength ? other : held;
+  return counts && current.strength < other.strength ? other : current;
 }
 
 Evidence compareFailures(const OutcomeCounts& target, const OutcomeCounts& former) {
@@ -90,12 +90,12 @@
 
 OutcomeCounts countsOf(const v1::VersionOutcomes& outcomes) {
   OutcomeCounts counts{.ended = outcomes.ended(), .failed = outcomes.failed()};
-  const auto take = [](const auto& told, Times& times) {
-    const size_t known = std::min(static_cast<size_t>(told.size()), times.size());
-    std::copy_n(told.begin(), known, times.begin());
+  const auto copyTimes = [](const auto& reported, Times& times) {
+    const size_t known = std::min(static_cast<size_t>(reported.size()), times.size());
+    std::copy_n(reported.begin(), known, times.begin());
   };
-  take(outcomes.first_times(), counts.first_times);
-  take(outcomes.step_times(), counts.step_times);
+  copyTimes(outcomes.first_times(), counts.first_times);
+  copyTimes(outcomes.step_times(), counts.step_times);
   return counts;
 }
 
@@ -120,8 +120,8 @@
 }
 
 void VersionComparison::add(uint64_t route, bool target, const OutcomeCounts& counts) {
-  Route& of_route = routes_[route];
-  (target ? of_route.target : of_route.former) += counts;
+  Route& route_outcomes = routes_[route];
+  (target ? route_outcomes.target : route_outcomes.former) += counts;
 }
 
 VersionComparison VersionComparison::since(const VersionComparison& earlier) const {
--- a/src/core/relay/version_comparison.h
+++ b/src/core/relay/version_comparison.h
@@ -1,6 +1,6 @@
 /// @file
-/// Outcomes of requests at runners of two versions side by side, and how strongly they speak
-/// against the newer one.
+/// Compares the outcomes of requests at runners of two versions, and measures the evidence against
+/// the newer version.
 #pragma once
 
 #include <array>
@@ -20,47 +20,50 @@
   std::array<uint64_t, kTimeBuckets> step_times{};
 
   OutcomeCounts& operator+=(const OutcomeCounts& more);
-  /// Counts only grow: `earlier` is of the same route and version at an earlier time.
+  /// Counts since an earlier state of the same route and version. Counts never decrease.
   OutcomeCounts since(const OutcomeCounts& earlier) const;
 };
 
 OutcomeCounts countsOf(const v1::VersionOutcomes& outcomes);
 
-/// How likely it is that the target version is worse, and on how many answers that rests.
+/// Evidence that the target version is worse, and the number of responses behind it.
 struct Evidence {
-  /// In standard deviations; negative: the target version does better.
+  /// In standard deviations; negative: the target version performs better.
   double strength = 0;
-  /// Bad answers of the target version beyond what the former one would have given.
+  /// Bad responses of the target version in excess of those that the former version would have
+  /// given.
   double excess = 0;
 };
 
-/// Outcomes of all routes at both versions in the same span of time. Not safe for concurrent use.
+/// Outcomes of all routes at both versions in the same time window. Not safe for concurrent use.
 class VersionComparison {
 public:
-  /// By fingerprint of the route's name.
+  /// Outcomes of one route at both versions.
   struct Route {
     OutcomeCounts former;
     OutcomeCounts target;
   };
 
   void add(uint64_t route, bool target, const OutcomeCounts& counts);
-  /// @return what was added since an earlier state of this comparison.
+  /// @return the outcomes added since an earlier state of this comparison.
   VersionComparison since(const VersionComparison& earlier) const;
 
-  /// @return the strongest evidence against the target version: failures of all routes or of one,
-  /// or answers of one route that are late beside those of the former version. A few bad answers
-  /// are no evidence.
+  /// @return the strongest evidence against the target version: failures of all routes together or
+  /// of one route, or responses of one route that are late compared with the former version. A few
+  /// bad responses are no evidence.
   Evidence strongest() const;
 
-  /// @return answers and failures of all routes; their times are not added up.
+  /// @return the responses and failures of all routes. Response times are not included.
   OutcomeCounts totalOf(bool target) const;
 
 private:
+  /// By fingerprint of the route's name.
   std::map<uint64_t, Route> routes_;
 };
 
-/// @return how strongly the shares of bad answers speak against the target version: the signed root
-/// of the likelihood ratio, which unlike the normal approximation holds for few answers too.
+/// @return the evidence against the target version from the shares of bad responses: the signed
+/// root of the likelihood ratio, which, unlike the normal approximation, is also valid for few
+/// responses.
 Evidence compareShares(uint64_t target_bad, uint64_t target_all, uint64_t former_bad,
                        uint64_t former_all);
 
