--- a/tests/unit/core/relay/cold_runners_test.cc
+++ b/tests/unit/core/relay/cold_runners_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Cold runners: who counts as one, and the pace that their owners keep, with the arrivals of an
-/// overload replayed against owners that change.
+/// Cold runners: which runners count as cold, and the rate limit of their slot owners, tested with
+/// the arrivals of an overload and with changes of the owner.
 #include <algorithm>
 #include <deque>
 #include <string>
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// A cold runner here bears 9.6 requests a second; no second may bring it more than 19.4.
+/// The cold runner sustains 9.6 requests per second. No second may bring it more than 19.4.
 constexpr double kSustainablePerS = 9.6;
 constexpr double kFactor = 1.5;
 constexpr double kSlack = 5;
-constexpr size_t kMostInASecond = 19;
+constexpr size_t kMaxPerSecond = 19;
 constexpr int64_t kSecondMs = 1000;
 constexpr uint64_t kRunner = 7;
 
@@ -35,7 +35,7 @@
                             .cold_pace = relay::rateLimitFor(kSustainablePerS, kFactor, kSlack)};
 }
 
-/// Counts what reaches one runner in any second.
+/// Counts the requests that reach one runner within any second.
 class Arrivals {
 public:
   void add(int64_t now_ms) {
@@ -43,23 +43,24 @@
     while (times_.front() <= now_ms - kSecondMs) {
       times_.pop_front();
     }
-    most_ = std::max(most_, times_.size());
+    max_per_second_ = std::max(max_per_second_, times_.size());
     ++count_;
   }
-  size_t mostInASecond() const { return most_; }
+  size_t maxPerSecond() const { return max_per_second_; }
   size_t count() const { return count_; }
 
 private:
   std::deque<int64_t> times_;
-  size_t most_ = 0;
+  size_t max_per_second_ = 0;
   size_t count_ = 0;
 };
 
-/// Relays that all want the same runner, 40 requests a second together, each of 200 ms.
-class Crowd {
+/// Relays that all send requests to the same runner: 40 requests per second together, each of 200
+/// ms.
+class RequestLoad {
 public:
-  /// One request at this moment, asked of `owner`. @return whether it got a place.
-  bool ask(relay::SlotOwner& owner, const relay::OwnedRunner& runner, int64_t now_ms) {
+  /// Requests one slot from `owner`. @return whether it was granted.
+  bool requestSlot(relay::SlotOwner& owner, const relay::OwnedRunner& runner, int64_t now_ms) {
     v1::PlaceClaim claim;
     claim.mutable_use()->set_runner(kRunner);
     claim.mutable_use()->set_sequence(++sequence_);
@@ -79,7 +80,7 @@
   uint64_t sequence_ = 0;
 };
 
-constexpr int64_t kBetweenAsksMs = 25;
+constexpr int64_t kRequestIntervalMs = 25;
 
 v1::RunnerList listOf(const std::vector<std::string>& ids, uint64_t version, uint32_t cold_ms = 0) {
   v1::RunnerList list;
@@ -111,60 +112,60 @@
 } // namespace
 
 TEST_CASE(
-    "A cold runner wanted by all gets what it bears, and never more than a second may bring") {
+    "A cold runner in demand gets its sustainable rate and never exceeds the bound per second") {
   relay::SlotOwner owner;
-  Crowd crowd;
-  for (int64_t now = 0; now < 6000; now += kBetweenAsksMs) {
-    crowd.ask(owner, coldRunner(3000), now);
+  RequestLoad load;
+  for (int64_t now = 0; now < 6000; now += kRequestIntervalMs) {
+    load.requestSlot(owner, coldRunner(3000), now);
   }
-  CHECK(crowd.arrivals.mostInASecond() <= kMostInASecond);
-  CHECK(crowd.arrivals.count() >= 55);
-  CHECK(crowd.arrivals.count() <= 62);
+  CHECK(load.arrivals.maxPerSecond() <= kMaxPerSecond);
+  CHECK(load.arrivals.count() >= 55);
+  CHECK(load.arrivals.count() <= 62);
 }
 
-TEST_CASE("A runner that is cold no longer gets all that is asked") {
+TEST_CASE("A runner that is no longer cold gets all requests") {
   relay::SlotOwner owner;
-  Crowd crowd;
-  CHECK_FALSE(crowd.ask(owner, coldRunner(3000), 0));
-  for (int64_t now = 3001; now < 4001; now += kBetweenAsksMs) {
-    CHECK(crowd.ask(owner, coldRunner(0), now));
+  RequestLoad load;
+  CHECK_FALSE(load.requestSlot(owner, coldRunner(3000), 0));
+  for (int64_t now = 3001; now < 4001; now += kRequestIntervalMs) {
+    CHECK(load.requestSlot(owner, coldRunner(0), now));
   }
 }
 
-TEST_CASE("The bound holds when the owner dies and another takes over") {
+TEST_CASE("The bound holds when the owner fails and another takes over") {
   relay::SlotOwner first;
   relay::SlotOwner second;
-  Crowd crowd;
-  for (int64_t now = 0; now < 3000; now += kBetweenAsksMs) {
-    crowd.ask(first, coldRunner(3000), now);
+  RequestLoad load;
+  for (int64_t now = 0; now < 3000; now += kRequestIntervalMs) {
+    load.requestSlot(first, coldRunner(3000), now);
   }
   second.recordOwnersChanged(3000);
-  for (int64_t now = 3000; now < 6000; now += kBetweenAsksMs) {
-    crowd.ask(second, coldRunner(3000), now);
+  for (int64_t now = 3000; now < 6000; now += kRequestIntervalMs) {
+    load.requestSlot(second, coldRunner(3000), now);
   }
-  CHECK(crowd.arrivals.mostInASecond() <= kMostInASecond);
+  CHECK(load.arrivals.maxPerSecond() <= kMaxPerSecond);
 }
 
-TEST_CASE("The bound holds while relays with different lists ask two owners") {
-  relay::SlotOwner leaving;
-  relay::SlotOwner coming;
-  Crowd crowd;
+TEST_CASE("The bound holds while relays with different lists use two owners") {
+  relay::SlotOwner old_owner;
+  relay::SlotOwner new_owner;
+  RequestLoad load;
   int64_t now = 0;
-  for (; now < 4000; now += kBetweenAsksMs) {
-    crowd.ask(leaving, coldRunner(3000), now);
+  for (; now < 4000; now += kRequestIntervalMs) {
+    load.requestSlot(old_owner, coldRunner(3000), now);
   }
-  coming.recordOwnersChanged(now);
-  for (const int64_t until = now + 1900; now < until; now += kBetweenAsksMs) {
-    crowd.ask(leaving, coldRunner(3000), now);
-    crowd.ask(coming, coldRunner(3000), now);
+  new_owner.recordOwnersChanged(now);
+  for (const int64_t until = now + 1900; now < until; now += kRequestIntervalMs) {
+    load.requestSlot(old_owner, coldRunner(3000), now);
+    load.requestSlot(new_owner, coldRunner(3000), now);
   }
-  for (const int64_t until = now + 3000; now < until; now += kBetweenAsksMs) {
-    crowd.ask(coming, coldRunner(3000), now);
+  for (const int64_t until = now + 3000; now < until; now += kRequestIntervalMs) {
+    load.requestSlot(new_owner, coldRunner(3000), now);
   }
-  CHECK(crowd.arrivals.mostInASecond() <= kMostInASecond);
+  CHECK(load.arrivals.maxPerSecond() <= kMaxPerSecond);
 }
 
-TEST_CASE("An owner that does not know a runner to be cold learns it from a claim") {
+TEST_CASE("An owner that does not know that a runner is cold applies the cold time of a claim") {
   relay::SlotOwner owner;
   v1::PlaceClaim claim;
   claim.mutable_use()->set_runner(kRunner);
@@ -174,7 +175,8 @@
   relay::OwnedRunner known = coldRunner(0);
   CHECK_FALSE(owner.claim("a", claim, known, 0).granted);
   CHECK(owner.claim("a", claim, known, 0).wait_ms > 0);
-  // One that it does not even list gets none: what it bears is not known there.
+  // A runner that the owner does not list gets no slot, because its sustainable rate is unknown
+  // there.
   claim.mutable_use()->set_runner(kRunner + 1);
   CHECK_FALSE(owner.claim("a", claim, relay::OwnedRunner{}, 0).granted);
 }
@@ -191,15 +193,15 @@
   CHECK(owner.claim("a", claim, relay::OwnedRunner{.listed = true}, 0).granted);
 }
 
-TEST_CASE("The pace and the burst stay under the bound for any figures of a deployment") {
-  for (const double borne : {0.5, 2.0, 9.6, 40.0}) {
+TEST_CASE("The rate and the burst stay under the bound for any configured values") {
+  for (const double sustainable : {0.5, 2.0, 9.6, 40.0}) {
     for (const double factor : {1.0, 1.5, 3.0}) {
       for (const double slack : {0.0, 1.0, 5.0, 50.0}) {
-        const relay::RateLimit limit = relay::rateLimitFor(borne, factor, slack);
-        CHECK(limit.per_s <= borne);
+        const relay::RateLimit limit = relay::rateLimitFor(sustainable, factor, slack);
+        CHECK(limit.per_s <= sustainable);
         CHECK(limit.per_s > 0);
-        const double most = borne * factor + slack;
-        // Below one and a half requests a second not even one request fits.
+        const double most = sustainable * factor + slack;
+        // With less than one and a half requests per second not even one request fits.
         if (most >= 2) {
           CHECK(1.5 * limit.per_s + limit.burst <= most + 1);
         }
@@ -208,23 +210,23 @@
   }
 }
 
-TEST_CASE("A runner is cold when it comes into the list, not when a relay reads its first one") {
+TEST_CASE("A runner is cold when it is added to the list, not when a relay reads its first list") {
   relay::RunnerTable table = tableOfEngines();
   CHECK(table.coldMs(runnerOf(table, "old"), 1000) == 0);
   table.setList(listOf({"old", "new"}, 2), 5000);
   CHECK(table.coldMs(runnerOf(table, "old"), 5000) == 0);
   CHECK(table.coldMs(runnerOf(table, "new"), 5000) == 3000);
   CHECK(table.coldMs(runnerOf(table, "new"), 8000) == 0);
-  // The next list says nothing new of it.
+  // The next list does not change the runner's entry.
   table.setList(listOf({"old", "new"}, 3), 9000);
   CHECK(table.coldMs(runnerOf(table, "new"), 9000) == 0);
 }
 
-TEST_CASE("The list's word is counted once, from when it came") {
+TEST_CASE("The cold time of a list is applied once, from the moment it was received") {
   relay::RunnerTable table = tableOfEngines();
   table.setList(listOf({"old"}, 2, 2000), 5000);
   CHECK(table.coldMs(runnerOf(table, "old"), 5000) == 2000);
-  // An update that leaves the entry as it was carries what the table told of it.
+  // An update that does not change the entry carries the entry of the table.
   v1::RunnerList same = table.list();
   same.set_version(3);
   table.setList(same, 8000);
@@ -242,7 +244,7 @@
   CHECK(table.coldMs(runner, 2000) == 3000);
 }
 
-TEST_CASE("Runners of an evacuated zone are not chosen, and are cold when it is taken back") {
+TEST_CASE("Runners of an evacuated zone are not chosen, and are cold after the evacuation") {
   relay::RunnerTable table = tableOfEngines();
   const relay::RunnerRequest request{.service = "s", .now_ms = 2000};
   CHECK(std::holds_alternative<relay::RunnerChoice>(table.choose(request)));
@@ -254,7 +256,7 @@
   relay::RunnerRequest resumed = request;
   resumed.ignores_limits = true;
   CHECK(std::holds_alternative<relay::NoRunner>(table.choose(resumed)));
-  // One that comes into the list meanwhile is evacuated as well.
+  // A runner that is added to the list meanwhile is evacuated as well.
   table.setList(listOf({"old", "new"}, 2), 2500);
   CHECK(std::holds_alternative<relay::NoRunner>(table.choose(request)));
   CHECK(table.ownedRunner(runnerOf(table, "new").fingerprint, 2500).evacuated);
@@ -265,7 +267,7 @@
   CHECK(table.coldMs(runnerOf(table, "old"), 9000) == 3000);
 }
 
-TEST_CASE("The load cap follows the mean of all runners, those of evacuated zones included") {
+TEST_CASE("The load cap follows the mean of all runners, including those of evacuated zones") {
   relay::RunnerTable table = tableOfEngines();
   v1::RunnerList list = listOf({"a", "b", "c"}, 2);
   for (v1::RunnerEntry& entry : *list.mutable_runners()) {
@@ -273,12 +275,12 @@
   }
   list.mutable_runners(2)->set_zone("south");
   table.setList(list, 2000);
-  v1::RunnerLoads sums;
-  sums.set_list_version(2);
+  v1::RunnerLoads totals;
+  totals.set_list_version(2);
   for (const uint32_t load : {9, 9, 0}) {
-    sums.add_in_progress(load);
+    totals.add_in_progress(load);
   }
-  table.setLoadTotals(sums, v1::RunnerLoads(), 2000);
+  table.setLoadTotals(totals, v1::RunnerLoads(), 2000);
   v1::EvacuationList evacuations;
   evacuations.set_version(5);
   evacuations.add_zones()->set_zone("south");
@@ -286,11 +288,11 @@
   const auto chosen = table.choose(relay::RunnerRequest{
       .service = "s", .cache_key = 5, .now_ms = 2000, .engine = true, .uses_slot_owners = true});
   REQUIRE(std::holds_alternative<relay::RunnerChoice>(chosen));
-  // Twice the mean of 6, and 3: not twice the mean of 9.
+  // Twice the mean of 6, plus 3; not twice the mean of 9.
   CHECK(std::get<relay::RunnerChoice>(chosen).limit == 15);
 }
 
-TEST_CASE("What comes without an owner goes to a cold runner only when there is no other") {
+TEST_CASE("Requests without a slot owner go to a cold runner only when there is no other") {
   relay::RunnerTable table = tableOfEngines();
   table.setList(listOf({"old", "new"}, 2), 5000);
   for (uint64_t draw = 0; draw < 20; ++draw) {
--- a/tests/unit/core/relay/large_list_test.cc
+++ b/tests/unit/core/relay/large_list_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Changes of a list of ten thousand runners at one relay: what they cost, and that they leave the
-/// table as the whole list would.
+/// Updates of a list of ten thousand runners at one relay: their cost, and the equality of the
+/// updated table with one made from the whole list.
 #include <random>
 #include <string>
 #include <vector>
@@ -42,7 +42,7 @@
   return list;
 }
 
-/// Takes some runners out, brings new ones in, and lets others leave.
+/// Removes some runners, adds new ones, and marks others as leaving or restarted.
 v1::RunnerList changedList(const v1::RunnerList& list, std::mt19937& random, size_t changes,
                            size_t& next_number) {
   v1::RunnerList changed = list;
@@ -74,9 +74,9 @@
 
 } // namespace
 
-TEST_CASE("A change of twenty among ten thousand runners reads twenty entries") {
-  // Load pattern: runners are replaced or emptied one after the other, so that each reading of the
-  // platform's list differs from the one before in a few entries, once a second.
+TEST_CASE("An update of 20 of 10,000 runners reads 20 entries") {
+  // Load pattern: runners are replaced or drained one after the other, so that each reading of the
+  // platform's list, once a second, differs from the previous one in a few entries.
   std::mt19937 random(3);
   size_t next_number = kRunners;
   relay::RunnerListHistory history;
@@ -92,7 +92,7 @@
   CHECK(table.entriesApplied() <= kRunners + 20);
 }
 
-TEST_CASE("A table after many updates is that of the whole list") {
+TEST_CASE("A table after many updates equals the table of the whole list") {
   for (uint32_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     std::mt19937 random(seed);
@@ -122,14 +122,14 @@
   }
 }
 
-TEST_CASE("What is known of a runner outlives updates about others, and ends with its life") {
+TEST_CASE("The state of a runner survives updates about others and ends with its process") {
   relay::RunnerTable table(relay::RunnerTableOptions{});
   v1::RunnerList list = wholeList(1, 0, 100);
   table.setList(list, 0);
   const auto kept = table.runners()[10];
-  const auto reborn = table.runners()[20];
+  const auto restarted = table.runners()[20];
   table.beginAttempt(*kept, 0);
-  table.beginAttempt(*reborn, 0);
+  table.beginAttempt(*restarted, 0);
   relay::RunnerListHistory history;
   history.add(list);
   list.set_version(2);
@@ -139,8 +139,8 @@
   REQUIRE_FALSE(isError(table.applyUpdate(history.updateFrom(1), 1000)));
   CHECK(table.find(kept->fingerprint) == kept);
   CHECK(kept->in_progress == 1);
-  CHECK(table.find(reborn->fingerprint) == nullptr);
-  CHECK(reborn->gone);
+  CHECK(table.find(restarted->fingerprint) == nullptr);
+  CHECK(restarted->gone);
   CHECK(table.runners()[20]->in_progress == 0);
   v1::RunnerListUpdate other;
   other.set_version(9);
--- a/tests/unit/core/relay/load_cap_test.cc
+++ b/tests/unit/core/relay/load_cap_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Simulation of a fleet of relays whose loads reach one another with a delay: no engine gets more
-/// than the multiple of the mean load that operators allow.
+/// Simulates a fleet of relays whose loads are known to one another with a delay, and tests that no
+/// engine exceeds the operators' multiple of the mean load.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -19,25 +19,26 @@
 
 namespace {
 
-/// A quiet day of the deployment where the cap was broken (hhpn-stock).
+/// Traffic of a quiet day of the deployment where the cap was exceeded (hhpn-stock).
 constexpr size_t kRelays = 10;
 constexpr int kRunners = 18;
 constexpr uint32_t kSlots = 48;
-constexpr uint64_t kParts = 346;
-constexpr int64_t kLengthMs = 60'000;
-/// Requests come in clumps of this size, some 170 a second in all.
-constexpr uint64_t kClump = 3;
-constexpr uint64_t kClumpsPerSecond = 57;
-/// A request lasts for a time between these.
+constexpr uint64_t kPrefixes = 346;
+constexpr int64_t kDurationMs = 60'000;
+/// Requests arrive in bursts of this size, some 170 per second in all.
+constexpr uint64_t kBurstSize = 3;
+constexpr uint64_t kBurstsPerSecond = 57;
+/// Range of the duration of a request.
 constexpr uint64_t kShortestMs = 60;
 constexpr uint64_t kLongestMs = 700;
-/// What operators allow. They take it as broken where 3 in 100 of the requests of five seconds miss
-/// it; here it is a third of that, since the simulation has no slow links, nor runners that come
-/// and go. Renewals every 250 ms that aimed at the cap itself came to 1.1 to 2.2 in 100.
+/// The operators' bound. They consider it violated if 3 in 100 of the requests of five seconds
+/// exceed it. The test allows a third of that, because the simulation has neither slow links nor
+/// runners that start and stop. Renewals every 250 ms that used the bound itself as their limit
+/// reached 1.1 to 2.2 in 100.
 constexpr double kCapFactor = 2;
 constexpr double kCapSlack = 3;
 constexpr int64_t kWindowMs = 5'000;
-constexpr double kMostOver = 0.01;
+constexpr double kMaxOverFraction = 0.01;
 
 v1::RunnerList engines() {
   v1::RunnerList list;
@@ -52,7 +53,8 @@
   return list;
 }
 
-/// Relays that renew one after the other and get the sums of what all reported last.
+/// Relays that renew their leases one after the other and receive the totals of the latest reports
+/// of all relays.
 class SimulatedFleet {
 public:
   explicit SimulatedFleet(uint64_t seed) : random_(seed) {
@@ -64,13 +66,13 @@
     reported_.resize(kRelays);
   }
 
-  /// @return the largest part of a window's requests that went over the cap.
-  double worstPartOver() {
-    for (int64_t now_ms = 1; now_ms <= kLengthMs; ++now_ms) {
+  /// @return the largest fraction of a window's requests that exceeded the bound.
+  double worstOverFraction() {
+    for (int64_t now_ms = 1; now_ms <= kDurationMs; ++now_ms) {
       endRequests(now_ms);
       streamEvents(now_ms);
       renew(now_ms);
-      if (random_.below(1000) < kClumpsPerSecond) {
+      if (random_.below(1000) < kBurstsPerSecond) {
         arrive(now_ms);
       }
     }
@@ -97,7 +99,7 @@
     ends_.erase(now_ms);
   }
 
-  /// Engines send something for each request all the time.
+  /// Engines send events for each request continuously.
   void streamEvents(int64_t now_ms) {
     for (const auto& [end_ms, running] : ends_) {
       relays_[running.relay]->recordActivity(*running.runner, now_ms);
@@ -112,25 +114,25 @@
         continue;
       }
       reported_[i] = relays_[i]->ownLoads(now_ms);
-      relay::LoadTotals sums(1, kRunners);
+      relay::LoadTotals totals(1, kRunners);
       for (const v1::RunnerLoads& report : reported_) {
-        sums.add(report);
+        totals.add(report);
       }
-      relays_[i]->setLoadTotals(sums.totals(), reported_[i], now_ms);
+      relays_[i]->setLoadTotals(totals.totals(), reported_[i], now_ms);
     }
   }
 
-  /// Half of the requests are for an eighth of the parts.
-  uint64_t drawPart() {
-    constexpr uint64_t kPopular = kParts / 8;
-    return 1 + (random_.below(2) == 0 ? random_.below(kPopular) : random_.below(kParts));
+  /// Half of the requests use an eighth of the prefixes.
+  uint64_t drawPrefix() {
+    constexpr uint64_t kPopular = kPrefixes / 8;
+    return 1 + (random_.below(2) == 0 ? random_.below(kPopular) : random_.below(kPrefixes));
   }
 
   void arrive(int64_t now_ms) {
-    for (uint64_t i = 0; i < kClump; ++i) {
+    for (uint64_t i = 0; i < kBurstSize; ++i) {
       const size_t at = random_.below(kRelays);
       const relay::RunnerRequest request{.service = "s",
-                                         .cache_key = drawPart(),
+                                         .cache_key = drawPrefix(),
                                          .zone = "z",
                                          .now_ms = now_ms,
                                          .engine = true,
@@ -168,7 +170,7 @@
   SeededRandom random_;
   std::vector<std::unique_ptr<relay::RunnerTable>> relays_;
   std::vector<v1::RunnerLoads> reported_;
-  /// True loads by runner, and the requests in progress by the time at which they end.
+  /// Actual loads by runner, and the requests in progress by the time at which they end.
   std::map<std::string, uint32_t> loads_;
   std::multimap<int64_t, Running> ends_;
   std::deque<Sent> window_;
@@ -177,12 +179,12 @@
 
 } // namespace
 
-TEST_CASE("Relays that know one another's loads late keep to the load cap") {
+TEST_CASE("Relays that know one another's loads with a delay keep to the load cap") {
   constexpr uint64_t kSeeds = 6;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const double worst = SimulatedFleet(seed).worstPartOver();
+    const double worst = SimulatedFleet(seed).worstOverFraction();
     CAPTURE(seed);
-    CHECK(worst <= kMostOver);
+    CHECK(worst <= kMaxOverFraction);
   }
 }
 
--- a/tests/unit/core/relay/placement_test.cc
+++ b/tests/unit/core/relay/placement_test.cc
@@ -1,6 +1,7 @@
 /// @file
-/// Which runners are asked for a place, and replays of the loads that this answers: hundreds of
-/// relays that see a few requests a second each, with sums of loads older than a request.
+/// Choice of the runners at which a slot is requested, and simulations of the resulting loads:
+/// hundreds of relays that each receive a few requests per second, with load totals older than a
+/// request.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -33,55 +34,55 @@
   return made;
 }
 
-/// Ids of the runners asked when every owner refuses, with the limits.
-struct Asked {
+/// Ids of the runners that are tried when every owner refuses, with the limits.
+struct TriedRunners {
   std::vector<std::string> ids;
   std::vector<uint32_t> limits;
 };
 
-Asked askAll(const std::vector<std::shared_ptr<relay::Runner>>& candidates, bool by_prompt,
-             bool busy) {
-  Asked asked;
+TriedRunners tryAll(const std::vector<std::shared_ptr<relay::Runner>>& candidates, bool by_prompt,
+                    bool busy) {
+  TriedRunners tried;
   while (const auto offer =
              relay::nextOffer({}, relay::PlacementQuery{.candidates = candidates,
-                                                        .refused = asked.ids.size(),
+                                                        .refused = tried.ids.size(),
                                                         .by_prompt = by_prompt,
                                                         .engine = by_prompt,
                                                         .busy = busy,
                                                         .rank = {.priority = 1, .draw = 5},
                                                         .cap_load = 20})) {
-    asked.ids.push_back(offer->runner->entry.id());
-    asked.limits.push_back(offer->limit);
+    tried.ids.push_back(offer->runner->entry.id());
+    tried.limits.push_back(offer->limit);
   }
-  return asked;
+  return tried;
 }
 
-/// What relays do with the requests of a service: a discrete-event replay. Sums of loads reach all
-/// relays once a period and tell what was in progress a period before.
-class FleetReplay {
+/// Discrete-event simulation of the relays of a service. Load totals reach all relays once per
+/// period and contain the requests that were in progress one period before.
+class FleetSimulation {
 public:
   struct Shape {
     int relays = 300;
     int runners = 10;
     uint32_t slots = 6;
-    /// Requests a second, and how long each lasts.
+    /// Requests per second, and the mean duration of a request.
     double rate = 410;
     double service_ms = 60;
-    /// Shared parts of prompts; zero: plain requests.
-    int parts = 0;
+    /// Number of shared prefixes of prompts; zero: plain requests.
+    int prefixes = 0;
     bool owners = true;
   };
   struct Outcome {
     int sent = 0;
     int refused = 0;
-    /// Requests that found all places of their runner taken.
+    /// Requests sent to a runner whose slots were all in use.
     int queued = 0;
-    uint32_t most_load = 0;
-    /// Runners that each part came to, over all parts.
+    uint32_t max_load = 0;
+    /// Number of runners that each prefix was sent to, summed over all prefixes.
     size_t homes = 0;
   };
 
-  explicit FleetReplay(Shape shape) : shape_(shape), random_(17) {
+  explicit FleetSimulation(Shape shape) : shape_(shape), random_(17) {
     v1::RunnerList list;
     list.set_version(1);
     for (int i = 0; i < shape.runners; ++i) {
@@ -103,32 +104,32 @@
     std::exponential_distribution<double> gap(shape_.rate / 1000);
     double next_request = 0;
     for (int64_t now = 0; now < for_ms; ++now) {
-      endDue(now);
-      if (now % kSumsPeriodMs == 0) {
-        tellSums(now);
+      endRequests(now);
+      if (now % kTotalsPeriodMs == 0) {
+        sendLoadTotals(now);
       }
       while (next_request <= static_cast<double>(now)) {
         next_request += gap(random_);
         request(now);
       }
-      // The first sums are empty, which is no load of a day.
-      if (now == 2 * kSumsPeriodMs) {
+      // The first load totals are empty, which does not occur in operation.
+      if (now == 2 * kTotalsPeriodMs) {
         outcome_ = {};
         homes_.clear();
       }
     }
-    for (const auto& [part, used] : homes_) {
+    for (const auto& [prefix, used] : homes_) {
       outcome_.homes += used.size();
     }
     return outcome_;
   }
 
 private:
-  static constexpr int64_t kSumsPeriodMs = 900;
+  static constexpr int64_t kTotalsPeriodMs = 900;
 
   struct Relay {
     relay::RunnerTable table{relay::RunnerTableOptions{}};
-    relay::SlotUsage held{1};
+    relay::SlotUsage usage{1};
   };
   struct Run {
     int64_t ends_ms = 0;
@@ -138,25 +139,25 @@
     bool operator>(const Run& other) const { return ends_ms > other.ends_ms; }
   };
 
-  void tellSums(int64_t now) {
-    relay::LoadTotals sums(1, load_.size());
+  void sendLoadTotals(int64_t now) {
+    relay::LoadTotals totals(1, load_.size());
     for (const auto& relay : relays_) {
-      sums.add(relay->table.ownLoads(now));
+      totals.add(relay->table.ownLoads(now));
     }
-    const v1::RunnerLoads told = std::exchange(sums_, sums.totals());
+    const v1::RunnerLoads published = std::exchange(totals_, totals.totals());
     for (const auto& relay : relays_) {
-      relay->table.setLoadTotals(told, relay->table.ownLoads(now), now);
+      relay->table.setLoadTotals(published, relay->table.ownLoads(now), now);
     }
   }
 
-  void endDue(int64_t now) {
+  void endRequests(int64_t now) {
     while (!runs_.empty() && runs_.top().ends_ms <= now) {
       const Run run = runs_.top();
       runs_.pop();
       Relay& relay = *relays_[run.relay];
       relay.table.endAttempt(*run.runner, relay::AttemptOutcome::Succeeded, now);
-      relay.held.remove(run.runner->fingerprint);
-      owner_.recordUsage(nameOf(run.relay), relay.held.makeReport(run.runner->fingerprint, now),
+      relay.usage.remove(run.runner->fingerprint);
+      owner_.recordUsage(nameOf(run.relay), relay.usage.makeReport(run.runner->fingerprint, now),
                          now);
       --load_[run.position];
     }
@@ -166,31 +167,32 @@
 
   void request(int64_t now) {
     const size_t at = random_() % relays_.size();
-    relay::RunnerRequest wish{.service = "s", .zone = "z", .now_ms = now};
-    wish.cache_key = shape_.parts == 0 ? 0 : 1 + random_() % static_cast<uint64_t>(shape_.parts);
-    wish.engine = shape_.parts != 0;
-    wish.rank = {.priority = 1, .draw = random_()};
-    wish.uses_slot_owners = shape_.owners;
+    relay::RunnerRequest runner_request{.service = "s", .zone = "z", .now_ms = now};
+    runner_request.cache_key =
+        shape_.prefixes == 0 ? 0 : 1 + random_() % static_cast<uint64_t>(shape_.prefixes);
+    runner_request.engine = shape_.prefixes != 0;
+    runner_request.rank = {.priority = 1, .draw = random_()};
+    runner_request.uses_slot_owners = shape_.owners;
     while (true) {
-      const auto chosen = relays_[at]->table.choose(wish);
+      const auto chosen = relays_[at]->table.choose(runner_request);
       const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
       if (choice == nullptr) {
         ++outcome_.refused;
         return;
       }
-      if (!shape_.owners || takePlace(at, *choice, now)) {
-        begin(at, wish, *choice, now);
+      if (!shape_.owners || takeSlot(at, *choice, now)) {
+        begin(at, runner_request, *choice, now);
         return;
       }
-      ++wish.refused_slots;
-      wish.already_counted = true;
+      ++runner_request.refused_slots;
+      runner_request.already_counted = true;
     }
   }
 
-  bool takePlace(size_t at, const relay::RunnerChoice& choice, int64_t now) {
+  bool takeSlot(size_t at, const relay::RunnerChoice& choice, int64_t now) {
     Relay& relay = *relays_[at];
     v1::PlaceClaim claim;
-    *claim.mutable_use() = relay.held.makeReport(choice.runner->fingerprint, now);
+    *claim.mutable_use() = relay.usage.makeReport(choice.runner->fingerprint, now);
     claim.set_limit(choice.limit);
     const auto decision = owner_.claim(
         nameOf(at), claim,
@@ -199,21 +201,22 @@
     return decision.granted;
   }
 
-  void begin(size_t at, const relay::RunnerRequest& wish, const relay::RunnerChoice& choice,
-             int64_t now) {
+  void begin(size_t at, const relay::RunnerRequest& runner_request,
+             const relay::RunnerChoice& choice, int64_t now) {
     Relay& relay = *relays_[at];
-    relay.table.recordSent(wish, choice);
+    relay.table.recordSent(runner_request, choice);
     relay.table.beginAttempt(*choice.runner, now);
-    relay.held.add(choice.runner->fingerprint);
+    relay.usage.add(choice.runner->fingerprint);
     const auto position = static_cast<size_t>(std::stoi(choice.runner->entry.id().substr(1)));
     ++outcome_.sent;
     outcome_.queued += load_[position] >= shape_.slots ? 1 : 0;
-    outcome_.most_load = std::max(outcome_.most_load, ++load_[position]);
-    if (wish.cache_key != 0) {
-      homes_[wish.cache_key].insert(position);
+    outcome_.max_load = std::max(outcome_.max_load, ++load_[position]);
+    if (runner_request.cache_key != 0) {
+      homes_[runner_request.cache_key].insert(position);
     }
-    std::uniform_real_distribution<double> lasts(0.5 * shape_.service_ms, 1.5 * shape_.service_ms);
-    runs_.push(Run{.ends_ms = now + static_cast<int64_t>(lasts(random_)),
+    std::uniform_real_distribution<double> duration(0.5 * shape_.service_ms,
+                                                    1.5 * shape_.service_ms);
+    runs_.push(Run{.ends_ms = now + static_cast<int64_t>(duration(random_)),
                    .relay = at,
                    .runner = choice.runner,
                    .position = position});
@@ -223,7 +226,7 @@
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<Relay>> relays_;
   relay::SlotOwner owner_;
-  v1::RunnerLoads sums_;
+  v1::RunnerLoads totals_;
   /// Requests in progress by runner.
   std::vector<uint32_t> load_;
   std::priority_queue<Run, std::vector<Run>, std::greater<>> runs_;
@@ -234,62 +237,63 @@
 } // namespace
 
 TEST_CASE(
-    "A prompt asks its homes up to the cap, another by lot, then its homes up to their places") {
-  const Asked asked = askAll(runners(20, 32), true, false);
-  REQUIRE(asked.ids.size() == 7);
-  CHECK(std::vector(asked.ids.begin(), asked.ids.begin() + 4) ==
+    "A prompt tries its homes up to the cap, a random runner, then its homes up to their limits") {
+  const TriedRunners tried = tryAll(runners(20, 32), true, false);
+  REQUIRE(tried.ids.size() == 7);
+  CHECK(std::vector(tried.ids.begin(), tried.ids.begin() + 4) ==
         std::vector<std::string>{"r0", "r1", "r2", "r3"});
-  CHECK(std::set(asked.ids.begin(), asked.ids.begin() + 5).size() == 5);
-  CHECK(asked.ids[5] == "r0");
-  CHECK(asked.ids[6] == "r1");
-  CHECK(asked.limits == std::vector<uint32_t>{20, 20, 20, 20, 20, 30, 30});
+  CHECK(std::set(tried.ids.begin(), tried.ids.begin() + 5).size() == 5);
+  CHECK(tried.ids[5] == "r0");
+  CHECK(tried.ids[6] == "r1");
+  CHECK(tried.limits == std::vector<uint32_t>{20, 20, 20, 20, 20, 30, 30});
 }
 
-TEST_CASE("While the service is busy a prompt asks three homes only") {
-  const Asked asked = askAll(runners(20, 32), true, true);
-  CHECK(asked.ids == std::vector<std::string>{"r0", "r1", "r2"});
+TEST_CASE("While the service is busy a prompt tries only three homes") {
+  const TriedRunners tried = tryAll(runners(20, 32), true, true);
+  CHECK(tried.ids == std::vector<std::string>{"r0", "r1", "r2"});
 }
 
-TEST_CASE("A plain request first asks for places without a queue") {
-  const Asked asked = askAll(runners(10, 6), false, false);
-  CHECK(asked.limits == std::vector<uint32_t>{6, 6, 17});
-  CHECK(askAll(runners(1, 6), false, false).limits == std::vector<uint32_t>{17});
+TEST_CASE("A plain request first tries to get a slot without queueing") {
+  const TriedRunners tried = tryAll(runners(10, 6), false, false);
+  CHECK(tried.limits == std::vector<uint32_t>{6, 6, 17});
+  CHECK(tryAll(runners(1, 6), false, false).limits == std::vector<uint32_t>{17});
 }
 
-TEST_CASE("Two fifths of a plain service's places: 300 relays do not meet at one runner") {
-  // By sums they fill single runners up to their limit of 17, three times their places, while
-  // others are idle.
-  const auto by_owners = FleetReplay({}).run(10'000);
+TEST_CASE(
+    "With two fifths of a plain service's slots in use, 300 relays do not overload one runner") {
+  // With load totals, relays fill single runners up to their limit of 17, three times their slots,
+  // while others are idle.
+  const auto by_owners = FleetSimulation({}).run(10'000);
   CHECK(by_owners.sent > 3000);
   CHECK(by_owners.refused == 0);
   CHECK(by_owners.queued * 100 < by_owners.sent);
-  const auto by_sums = FleetReplay({.owners = false}).run(10'000);
-  CHECK(by_sums.queued * 100 > 10 * by_sums.sent);
+  const auto by_totals = FleetSimulation({.owners = false}).run(10'000);
+  CHECK(by_totals.queued * 100 > 10 * by_totals.sent);
 }
 
-TEST_CASE("More plain requests than the runners' limits allow: runners are full, not over") {
-  const auto outcome = FleetReplay({.runners = 6, .rate = 2500}).run(10'000);
-  CHECK(outcome.most_load <= 18);
+TEST_CASE("Plain requests over the capacity fill the runners to their limits and no further") {
+  const auto outcome = FleetSimulation({.runners = 6, .rate = 2500}).run(10'000);
+  CHECK(outcome.max_load <= 18);
   CHECK(outcome.refused > 0);
-  // What is sent is what the limits allow, within a tenth.
+  // The requests sent are those that the limits allow, within a tenth.
   const double sent_a_second = outcome.sent / 8.2;
   CHECK(sent_a_second > 0.9 * 6 * 17 / 0.06);
 }
 
-TEST_CASE("Model engines in a crowd: no runner over its places, parts stay at few homes") {
-  const FleetReplay::Shape crowd{
-      .runners = 40, .slots = 32, .rate = 800, .service_ms = 1200, .parts = 400};
-  const auto by_owners = FleetReplay(crowd).run(8000);
-  CHECK(by_owners.most_load <= 38);
+TEST_CASE("Model engines under high load stay at their slot limits, and prefixes at few homes") {
+  const FleetSimulation::Shape high_load{
+      .runners = 40, .slots = 32, .rate = 800, .service_ms = 1200, .prefixes = 400};
+  const auto by_owners = FleetSimulation(high_load).run(8000);
+  CHECK(by_owners.max_load <= 38);
   CHECK(by_owners.refused * 100 < by_owners.sent);
-  FleetReplay::Shape without = crowd;
+  FleetSimulation::Shape without = high_load;
   without.owners = false;
-  const auto by_sums = FleetReplay(without).run(8000);
-  CHECK(by_sums.homes > by_owners.homes);
-  MESSAGE("homes of 400 parts: " << by_owners.homes << " by owners, " << by_sums.homes
-                                 << " by sums; most load " << by_owners.most_load << " and "
-                                 << by_sums.most_load << "; refused " << by_owners.refused
-                                 << " and " << by_sums.refused);
+  const auto by_totals = FleetSimulation(without).run(8000);
+  CHECK(by_totals.homes > by_owners.homes);
+  MESSAGE("homes of 400 prefixes: " << by_owners.homes << " by owners, " << by_totals.homes
+                                    << " by totals; highest load " << by_owners.max_load << " and "
+                                    << by_totals.max_load << "; refused " << by_owners.refused
+                                    << " and " << by_totals.refused);
 }
 
 } // namespace workshatch::test
--- a/tests/unit/core/relay/prefix_sources_test.cc
+++ b/tests/unit/core/relay/prefix_sources_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// From which runner a prompt's cached parts are taken.
+/// Choice of the runner from which the cached prefixes of a prompt are copied.
 #include <memory>
 #include <string>
 #include <vector>
@@ -15,7 +15,7 @@
 
 using Runners = std::vector<std::shared_ptr<relay::Runner>>;
 
-constexpr uint64_t kPart = 42;
+constexpr uint64_t kPrefix = 42;
 constexpr uint64_t kParent = 7;
 constexpr int64_t kNowMs = 100'000;
 
@@ -25,7 +25,7 @@
   return runner;
 }
 
-/// @return runners in the order in which they rank for the part.
+/// @return runners in the order of their ranking for the prefix.
 Runners rankedFor(uint64_t prefix, int count) {
   Runners runners;
   for (int i = 0; i < count; ++i) {
@@ -38,7 +38,7 @@
 relay::SourceQuery query(const Runners& runners, const relay::Runner& chosen,
                          int64_t now_ms = kNowMs) {
   return relay::SourceQuery{
-      .prefix = kPart,
+      .prefix = kPrefix,
       .parent = kParent,
       .chosen = &chosen,
       .runners = &runners,
@@ -48,16 +48,16 @@
 
 } // namespace
 
-TEST_CASE("A part comes from the runner that this relay sent it to lately") {
-  const Runners ranked = rankedFor(kPart, 5);
+TEST_CASE("A prefix is copied from the runner to which this relay recently sent it") {
+  const Runners ranked = rankedFor(kPrefix, 5);
   relay::PrefixSources sources;
-  sources.recordSent(kPart, kParent, ranked[3], kNowMs - 1'000);
+  sources.recordSent(kPrefix, kParent, ranked[3], kNowMs - 1'000);
   CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[3]);
-  // It has the part itself.
+  // The chosen runner has the prefix itself.
   CHECK(sources.sourceFor(query(ranked, *ranked[3])) == nullptr);
-  // That was long ago: the ranking tells more.
+  // The prefix was sent there too long ago, so that the ranking is used.
   CHECK(sources.sourceFor(query(ranked, *ranked[1], kNowMs + 20'000)) == ranked[0]);
-  // It is not to be asked now.
+  // The runner is avoided now.
   ranked[3]->avoid_until_ms = kNowMs + 1;
   CHECK(sources.sourceFor(query(ranked, *ranked[1])) == ranked[0]);
   ranked[3]->avoid_until_ms = 0;
@@ -65,27 +65,28 @@
   CHECK(sources.sourceFor(query(ranked, *ranked[1])) == ranked[0]);
 }
 
-TEST_CASE("A new runner takes parts from the one that ranked first before it and others came") {
-  const Runners ranked = rankedFor(kPart, 5);
+TEST_CASE("A new runner copies prefixes from the first-ranked runner among those listed before") {
+  const Runners ranked = rankedFor(kPrefix, 5);
   ranked[0]->listed_since_ms = kNowMs - 1'000;
   ranked[1]->listed_since_ms = kNowMs - 1'000;
   const relay::PrefixSources sources;
   CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[2]);
-  // By then the part has come to the first.
+  // By then the first runner has the prefix.
   CHECK(sources.sourceFor(query(ranked, *ranked[1], kNowMs + 60'000)) == ranked[0]);
 }
 
-TEST_CASE("A home that was avoided lately takes parts from the next, which stood in for it") {
-  const Runners ranked = rankedFor(kPart, 5);
+TEST_CASE("A home that was recently avoided copies prefixes from the next runner in the ranking") {
+  const Runners ranked = rankedFor(kPrefix, 5);
   const relay::PrefixSources sources;
   ranked[0]->avoid_until_ms = kNowMs - 1'000;
   CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[1]);
 }
 
-TEST_CASE("At its home a part is there or nowhere: the part before it may be elsewhere") {
-  const Runners ranked = rankedFor(kPart, 5);
+TEST_CASE("At the home of a prefix only the parent is copied from another runner") {
+  const Runners ranked = rankedFor(kPrefix, 5);
   relay::PrefixSources sources;
-  // Nobody has told of the part before it: all take it from the runner that ranks first for it.
+  // It is not known where the parent was sent: all relays copy it from the runner that ranks first
+  // for it.
   const auto source = sources.sourceFor(query(ranked, *ranked[0]));
   REQUIRE(source != nullptr);
   for (const auto& runner : ranked) {
@@ -93,17 +94,17 @@
                         routing::rendezvousWeight(kParent, source->entry.id());
     CHECK((runner == ranked[0] || !better));
   }
-  sources.recordSent(kPart + 1, kParent, ranked[4], kNowMs - 1'000);
+  sources.recordSent(kPrefix + 1, kParent, ranked[4], kNowMs - 1'000);
   CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[4]);
 }
 
-TEST_CASE("A bounded number of parts is remembered, and old ones give way") {
-  const Runners ranked = rankedFor(kPart, 3);
+TEST_CASE("The number of remembered prefixes is bounded, and old ones are evicted") {
+  const Runners ranked = rankedFor(kPrefix, 3);
   relay::PrefixSources sources;
   for (uint64_t prefix = 1'000; prefix < 3'000; ++prefix) {
     sources.recordSent(prefix, 0, ranked[2], kNowMs - 60'000);
   }
-  sources.recordSent(kPart, kParent, ranked[2], kNowMs);
+  sources.recordSent(kPrefix, kParent, ranked[2], kNowMs);
   CHECK(sources.sourceFor(query(ranked, *ranked[0])) == ranked[2]);
 }
 
--- a/tests/unit/core/relay/request_identity_test.cc
+++ b/tests/unit/core/relay/request_identity_test.cc
@@ -1,12 +1,12 @@
 /// @file
-/// Which requests count as the same one.
+/// Identity of requests across attempts.
 #include <doctest/doctest.h>
 
 #include "core/relay/request_identity.h"
 
 namespace workshatch::test {
 
-TEST_CASE("A request is the same one by its tenant, method, target and body") {
+TEST_CASE("The identity of a request consists of its tenant, method, target and body") {
   const auto identity = relay::identityOf("tenant-1", "POST", "/work", "body");
   CHECK(identity == relay::identityOf("tenant-1", "POST", "/work", "body"));
   CHECK_FALSE(identity == relay::identityOf("tenant-2", "POST", "/work", "body"));
@@ -15,12 +15,12 @@
   CHECK_FALSE(identity == relay::identityOf("tenant-1", "POST", "/work", "other"));
 }
 
-TEST_CASE("Parts of a request do not pass into one another") {
+TEST_CASE("The boundaries between method, target and body are part of the identity") {
   CHECK_FALSE(relay::identityOf("t", "POST", "/a", "b") ==
               relay::identityOf("t", "POST", "/", "ab"));
 }
 
-TEST_CASE("A tenant's number does not depend on what it sends") {
+TEST_CASE("The caller number of a tenant does not depend on the content of its requests") {
   const auto first = relay::identityOf("tenant-1", "POST", "/work", "one");
   const auto second = relay::identityOf("tenant-1", "GET", "/other", "two");
   CHECK(first.caller == second.caller);
--- a/tests/unit/core/relay/rollout_analysis_test.cc
+++ b/tests/unit/core/relay/rollout_analysis_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Judgement of rollouts, replayed: answers of a former and of a target version whose faults come
-/// at once, later, on one route, or as slowness, with answers that fail anyway.
+/// Simulated rollouts: responses of a former and of a target version whose faults appear at once,
+/// later, on one route, or as slowness, while some responses fail at any version.
 #include <cmath>
 #include <cstdint>
 #include <optional>
@@ -20,44 +20,46 @@
 constexpr int64_t kDurationMs = 12'000;
 constexpr int64_t kStepMs = 100;
 constexpr size_t kRoutes = 4;
-/// A new leader has heard all relays after so long.
-constexpr int64_t kRelaysHeardMs = 1000;
-/// Part of the answers that fails at runners of any version.
+/// Time after which all relays have reported to a new leader.
+constexpr int64_t kRelaysReportedMs = 1000;
+/// Fraction of the responses that fail at runners of any version.
 constexpr double kUsualFailures = 0.14;
 
-/// A version on trial, and how it is worse than the former one.
+/// A version on trial, and its faults compared with the former version.
 struct Version {
-  /// Part of its answers that fails, of which routes, and from when on.
+  /// Fraction of its responses that fail, the only route on which they do, and the time from which
+  /// on they do.
   double failures = kUsualFailures;
   std::optional<size_t> only_route;
   int64_t from_ms = 0;
-  /// Part of its answers that take so many times as long.
-  double slow_part = 0;
+  /// Fraction of its responses that are slow, and the factor on their times.
+  double slow_fraction = 0;
   double slow_times = 4;
-  /// Requests of both versions in a step, on all routes.
+  /// Requests to both versions in a step, on all routes.
   int requests_in_step = 250;
-  /// The leader is lost then, and another one judges; zero: never.
+  /// Time at which another leader takes over; zero: never.
   int64_t leader_lost_ms = 0;
-  /// Runners hold no prompts yet, so that first parts take longer, as they do at any new runner.
+  /// Factor on the times to the first part of a response, because a new runner has no prompts
+  /// cached.
   double first_times_longer = 1;
 };
 
-struct Judged {
+struct Decision {
   v1::RolloutPhase phase = v1::ROLLOUT_CANARY;
   int64_t at_ms = 0;
   uint64_t bad_answers = 0;
 };
 
-/// Plays one rollout up to its first verdict.
-class RolloutPlay {
+/// Simulates one rollout up to its first decision.
+class RolloutSimulation {
 public:
-  RolloutPlay(const Version& version, uint64_t seed) : version_(version), random_(seed) {
+  RolloutSimulation(const Version& version, uint64_t seed) : version_(version), random_(seed) {
     rollout_.set_service("s");
     rollout_.set_duration_ms(kDurationMs);
     rollout_.set_id(7);
   }
 
-  Judged play() {
+  Decision run() {
     std::optional<relay::RolloutAnalysis> analysis;
     analysis.emplace(rollout_, 0, 0);
     int64_t leads_since_ms = 0;
@@ -68,7 +70,7 @@
         leads_since_ms = now_ms;
       }
       const bool all_relays_reported =
-          leads_since_ms == 0 || now_ms - leads_since_ms >= kRelaysHeardMs;
+          leads_since_ms == 0 || now_ms - leads_since_ms >= kRelaysReportedMs;
       v1::RolloutReport report;
       report.set_rollout(rollout_.id());
       outcomes_.fill(report);
@@ -79,10 +81,10 @@
                                                        .former_slots = 8,
                                                        .all_relays_reported = all_relays_reported});
       if (phase) {
-        return Judged{.phase = *phase, .at_ms = now_ms, .bad_answers = bad_answers_};
+        return Decision{.phase = *phase, .at_ms = now_ms, .bad_answers = bad_answers_};
       }
     }
-    return Judged{.at_ms = kDurationMs};
+    return Decision{.at_ms = kDurationMs};
   }
 
 private:
@@ -97,7 +99,7 @@
       relay::VersionOutcome outcome{
           .route = "route-" + std::to_string(route), .target = target, .failed = failed};
       if (!failed) {
-        const bool slow = worse && std::bernoulli_distribution(version_.slow_part)(random_);
+        const bool slow = worse && std::bernoulli_distribution(version_.slow_fraction)(random_);
         const double times = slow ? version_.slow_times : 1;
         std::lognormal_distribution<double> spread(0, 0.4);
         outcome.step_ms = 20 * times * spread(random_);
@@ -124,29 +126,29 @@
 Tally tallyOf(const Version& version, uint64_t seeds) {
   Tally tally;
   for (uint64_t seed = 0; seed < seeds; ++seed) {
-    const Judged judged = RolloutPlay(version, seed).play();
-    tally.rolled_back += judged.phase == v1::ROLLOUT_ROLLED_BACK ? 1 : 0;
-    tally.promoted += judged.phase == v1::ROLLOUT_PROMOTING ? 1 : 0;
+    const Decision decision = RolloutSimulation(version, seed).run();
+    tally.rolled_back += decision.phase == v1::ROLLOUT_ROLLED_BACK ? 1 : 0;
+    tally.promoted += decision.phase == v1::ROLLOUT_PROMOTING ? 1 : 0;
   }
   return tally;
 }
 
 } // namespace
 
-TEST_CASE("A good version whose answers fail as often as the former one's is promoted") {
+TEST_CASE("A good version whose responses fail as often as the former one's is promoted") {
   CHECK(tallyOf(Version{.requests_in_step = 60}, 1000).promoted == 1000);
 }
 
-TEST_CASE("A good version with few requests, or with prompts to read anew, is promoted") {
+TEST_CASE("A good version with few requests, or without cached prompts, is promoted") {
   CHECK(tallyOf(Version{.requests_in_step = 10}, 300).promoted == 300);
   CHECK(tallyOf(Version{.first_times_longer = 2}, 100).promoted == 100);
 }
 
-TEST_CASE("A version that fails somewhat more often is rolled back where enough requests show it") {
+TEST_CASE("A version that fails slightly more often is rolled back if there are enough requests") {
   CHECK(tallyOf(Version{.failures = 0.2, .requests_in_step = 500}, 100).rolled_back >= 99);
 }
 
-TEST_CASE("A version whose own faults are added to the usual ones is rolled back") {
+TEST_CASE("A version with faults in addition to the usual failures is rolled back") {
   const double failures = 1 - (1 - kUsualFailures) * (1 - 0.2);
   CHECK(tallyOf(Version{.failures = failures}, 200).rolled_back >= 198);
 }
@@ -156,12 +158,12 @@
   CHECK(tallyOf(Version{.failures = 0.5, .only_route = 2}, 100).rolled_back >= 99);
 }
 
-TEST_CASE("A version that is slow, always or for some answers only, is rolled back") {
-  CHECK(tallyOf(Version{.slow_part = 1}, 50).rolled_back == 50);
-  CHECK(tallyOf(Version{.slow_part = 0.2}, 100).rolled_back >= 99);
+TEST_CASE("A version that is slow for all or for some responses is rolled back") {
+  CHECK(tallyOf(Version{.slow_fraction = 1}, 50).rolled_back == 50);
+  CHECK(tallyOf(Version{.slow_fraction = 0.2}, 100).rolled_back >= 99);
 }
 
-TEST_CASE("A leader that is lost in the middle of a rollout takes the evidence with it") {
+TEST_CASE("A change of the leader during a rollout loses the evidence") {
   for (const int64_t lost_ms : {500, 3000, 6000}) {
     CAPTURE(lost_ms);
     const Version good{.requests_in_step = 60, .leader_lost_ms = lost_ms};
@@ -171,15 +173,17 @@
   }
 }
 
-TEST_CASE("Fifty bad answers are enough to roll a version back that fails half of its requests") {
+TEST_CASE(
+    "A version that fails half of its requests is rolled back after at most 50 bad responses") {
   for (uint64_t seed = 0; seed < 100; ++seed) {
-    const Judged judged = RolloutPlay(Version{.failures = 0.5}, seed).play();
-    CHECK(judged.phase == v1::ROLLOUT_ROLLED_BACK);
-    CHECK(judged.bad_answers <= 50);
+    const Decision decision = RolloutSimulation(Version{.failures = 0.5}, seed).run();
+    CHECK(decision.phase == v1::ROLLOUT_ROLLED_BACK);
+    CHECK(decision.bad_answers <= 50);
   }
 }
 
-TEST_CASE("A version that can't be judged in time is rolled back, and never without all relays") {
+TEST_CASE(
+    "A version that can't be judged in time is rolled back, but not before all relays reported") {
   const auto last_phase = [](const relay::RolloutConditions& rest) {
     v1::Rollout rollout;
     rollout.set_duration_ms(kDurationMs);
@@ -196,8 +200,7 @@
   CHECK(last_phase({.all_relays_reported = false}) == std::nullopt);
 }
 
-TEST_CASE(
-    "A version succeeds once nothing is left at the former one, and can still be rolled back") {
+TEST_CASE("A version succeeds once the former one has no requests, and can still be rolled back") {
   v1::Rollout rollout;
   rollout.set_duration_ms(kDurationMs);
   relay::RolloutAnalysis analysis(rollout, 0, 0);
@@ -219,7 +222,7 @@
         v1::ROLLOUT_ROLLED_BACK);
 }
 
-TEST_CASE("A relay's report is counted once, and what its earlier process told stays counted") {
+TEST_CASE("A relay's report is counted once, and reports of its earlier process remain counted") {
   v1::Rollout rollout;
   rollout.set_duration_ms(kDurationMs);
   relay::RolloutAnalysis analysis(rollout, 0, 0);
--- a/tests/unit/core/relay/rollout_gate_test.cc
+++ b/tests/unit/core/relay/rollout_gate_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What relays send to a version on trial, all together, and which runners rollouts leave open.
+/// Requests that all relays together send to a version on trial, and the versions that rollouts
+/// admit.
 #include <algorithm>
 #include <memory>
 #include <random>
@@ -30,15 +31,15 @@
   return list;
 }
 
-/// A version on trial at so many relays, each of which sends some requests.
+/// A trial at a number of relays that each send a number of requests.
 struct Trial {
   size_t relays = 0;
   size_t requests_each = 0;
-  /// Each relay starts again after so many requests; zero: never.
+  /// Number of requests after which each relay restarts; zero: never.
   size_t restart_after = 0;
 };
 
-/// @return requests that went to the version on trial.
+/// @return number of requests that went to the version on trial.
 size_t trialsOf(const Trial& trial, uint64_t seed) {
   std::mt19937_64 random(seed);
   size_t trials = 0;
@@ -70,7 +71,7 @@
   return list;
 }
 
-/// @return the version of the runner chosen; empty: none was.
+/// @return the version of the chosen runner; empty: none was chosen.
 std::string versionChosen(relay::RunnerTable& table, bool trial, uint64_t draw = 1) {
   relay::RunnerRequest request{.service = "s", .now_ms = 10, .trial = trial};
   request.rank.draw = draw;
@@ -82,7 +83,8 @@
 } // namespace
 
 TEST_CASE("All relays together send a version on trial its share of the requests, and no more") {
-  // A thousand relays send ten requests each in the time of a rollout; none earns a whole trial.
+  // A thousand relays send ten requests each during a rollout, so that none of them earns a whole
+  // trial.
   for (const Trial& trial :
        {Trial{.relays = 1000, .requests_each = 10}, Trial{.relays = 60, .requests_each = 300},
         Trial{.relays = 3, .requests_each = 5000},
@@ -91,13 +93,13 @@
     for (uint64_t seed = 0; seed < 20; ++seed) {
       const auto trials = static_cast<double>(trialsOf(trial, seed));
       CHECK(trials <= 0.1 * all + 50);
-      // A relay that starts again loses what its last request earned.
+      // A relay that restarts loses the fraction of a trial that it has earned.
       CHECK(trials >= (trial.restart_after == 0 ? 0.06 : 0.03) * all - 50);
     }
   }
 }
 
-TEST_CASE("A trial that was not sent is taken by the next request") {
+TEST_CASE("A trial whose request was not sent is used by the next request") {
   relay::RolloutGate gate(0.5);
   gate.setRollouts(rolloutIn(v1::ROLLOUT_CANARY), 0);
   CHECK_FALSE(gate.takeTrial("s"));
@@ -108,7 +110,7 @@
   gate.returnTrial("s");
   CHECK(gate.takeTrial("s"));
   CHECK_FALSE(gate.takeTrial("other"));
-  // The same rollout, told again with another service's: what was earned stays.
+  // The rollout is received again in a list with another version: earned trials are kept.
   gate.recordSent("s");
   gate.recordSent("s");
   gate.setRollouts(rolloutIn(v1::ROLLOUT_CANARY, 6), 0);
@@ -118,7 +120,7 @@
   CHECK_FALSE(gate.takeTrial("s"));
 }
 
-TEST_CASE("Requests go to the version that the rollout's phase leaves open") {
+TEST_CASE("Requests go to the versions that the phase of the rollout admits") {
   relay::RunnerTable table(relay::RunnerTableOptions{.trial_share = kShare});
   table.setList(runnersOf({"v1", "v1", "v2", "v2", "v3"}), 0);
   struct Case {
@@ -142,7 +144,7 @@
   CHECK_FALSE(versionChosen(table, false).empty());
 }
 
-TEST_CASE("A version on trial gets its share on few runners, which are then as loaded as others") {
+TEST_CASE("A version on trial gets its share on few runners, which then have the usual load") {
   relay::RunnerTable table(relay::RunnerTableOptions{.trial_share = kShare});
   std::vector<std::string> versions(50, "v1");
   versions.insert(versions.end(), 50, "v2");
@@ -158,7 +160,8 @@
   CHECK(used.size() <= 4);
 }
 
-TEST_CASE("A version that only this relay has read of is used when nothing else is left") {
+TEST_CASE(
+    "A version that only this relay has read from the platform is used if there is no other") {
   relay::RunnerTable table(relay::RunnerTableOptions{});
   table.setList(runnersOf({"v1", "v1"}), 0);
   v1::RunnerList read_here = runnersOf({"v1", "v1", "v2"});
--- a/tests/unit/core/relay/rollout_under_load_test.cc
+++ b/tests/unit/core/relay/rollout_under_load_test.cc
@@ -1,6 +1,7 @@
 /// @file
-/// A version that fails under load only: the choice of runners loads its trial as the former
-/// version is loaded, so that the judgement sees it before all requests go there.
+/// Regression test for a version that fails only under load and passed its trial: the runners on
+/// trial must have the usual load, so that the analysis detects the fault before all requests go
+/// there.
 #include <cmath>
 #include <cstdint>
 #include <memory>
@@ -21,12 +22,13 @@
 namespace {
 
 constexpr double kTrialShare = 0.08;
-constexpr size_t kRunnersOfAVersion = 50;
+constexpr size_t kRunnersPerVersion = 50;
 constexpr int64_t kDurationMs = 12'000;
 constexpr int64_t kStepMs = 100;
 constexpr int kRequestsInStep = 250;
-/// A request takes a step; a runner of the former version has five at a time.
-constexpr uint32_t kLoadThatHarms = 4;
+/// Load from which the target version fails. A request lasts one step; a runner of the former
+/// version has five at a time.
+constexpr uint32_t kHarmfulLoad = 4;
 constexpr double kUsualFailures = 0.14;
 constexpr double kFailuresUnderLoad = 0.5;
 
@@ -41,20 +43,20 @@
   return rollout;
 }
 
-/// One relay that sends all requests, its runners, and the judgement by what it saw.
+/// One relay that sends all requests, its runners, and the analysis of its outcomes.
 class TrialUnderLoad {
 public:
-  /// @param harmed_by_load the new version fails more often while it has many requests
+  /// @param harmed_by_load the target version fails more often while a runner has many requests
   TrialUnderLoad(bool harmed_by_load, uint64_t seed)
       : harmed_by_load_(harmed_by_load), random_(seed) {
     v1::RunnerList list;
     list.set_version(1);
-    for (size_t i = 0; i < 2 * kRunnersOfAVersion; ++i) {
+    for (size_t i = 0; i < 2 * kRunnersPerVersion; ++i) {
       v1::RunnerEntry& entry = *list.add_runners();
       entry.set_id("r" + std::to_string(100 + i));
       entry.set_service("s");
       entry.set_slots(64);
-      entry.set_version(i < kRunnersOfAVersion ? "v1" : "v2");
+      entry.set_version(i < kRunnersPerVersion ? "v1" : "v2");
     }
     table_.setList(list, 0);
     v1::RolloutList rollouts;
@@ -63,11 +65,11 @@
     table_.rollouts().setRollouts(rollouts, 0);
   }
 
-  /// @return the first verdict; nothing: there was none in time.
-  std::optional<v1::RolloutPhase> play() {
+  /// @return the first decision; empty: there was none in time.
+  std::optional<v1::RolloutPhase> run() {
     relay::RolloutAnalysis analysis(rolloutOnTrial(), 0, 0);
     for (int64_t now_ms = kStepMs; now_ms <= kDurationMs; now_ms += kStepMs) {
-      playStep(now_ms);
+      runStep(now_ms);
       v1::RolloutReport report;
       report.set_rollout(rolloutOnTrial().id());
       outcomes_.fill(report);
@@ -84,8 +86,8 @@
   }
 
 private:
-  /// All requests of a step begin, then all end.
-  void playStep(int64_t now_ms) {
+  /// Starts all requests of a step, then ends them.
+  void runStep(int64_t now_ms) {
     std::vector<std::shared_ptr<relay::Runner>> running;
     for (int i = 0; i < kRequestsInStep; ++i) {
       relay::RunnerRequest request{
@@ -99,16 +101,16 @@
       running.push_back(choice->runner);
     }
     for (const auto& runner : running) {
-      noteOutcome(*runner);
+      recordOutcome(*runner);
     }
     for (const auto& runner : running) {
       table_.endAttempt(*runner, relay::AttemptOutcome::Succeeded, now_ms);
     }
   }
 
-  void noteOutcome(const relay::Runner& runner) {
+  void recordOutcome(const relay::Runner& runner) {
     const bool target = runner.entry.version() == "v2";
-    const bool harmed = target && harmed_by_load_ && runner.in_progress >= kLoadThatHarms;
+    const bool harmed = target && harmed_by_load_ && runner.in_progress >= kHarmfulLoad;
     const bool failed =
         std::bernoulli_distribution(harmed ? kFailuresUnderLoad : kUsualFailures)(random_);
     outcomes_.record(rolloutOnTrial().id(),
@@ -123,13 +125,13 @@
 
 } // namespace
 
-TEST_CASE("A version that fails under load only passes its trial") {
+TEST_CASE("A version that fails only under load passes its trial") {
   constexpr uint64_t kSeeds = 20;
   size_t harmed_rolled_back = 0;
   size_t sound_promoted = 0;
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
-    harmed_rolled_back += TrialUnderLoad(true, seed).play() == v1::ROLLOUT_ROLLED_BACK ? 1 : 0;
-    sound_promoted += TrialUnderLoad(false, seed).play() == v1::ROLLOUT_PROMOTING ? 1 : 0;
+    harmed_rolled_back += TrialUnderLoad(true, seed).run() == v1::ROLLOUT_ROLLED_BACK ? 1 : 0;
+    sound_promoted += TrialUnderLoad(false, seed).run() == v1::ROLLOUT_PROMOTING ? 1 : 0;
   }
   CHECK(harmed_rolled_back == kSeeds);
   CHECK(sound_promoted == kSeeds);
--- a/tests/unit/core/relay/runner_backoffs_test.cc
+++ b/tests/unit/core/relay/runner_backoffs_test.cc
@@ -1,8 +1,9 @@
 /// @file
-/// Runners that ask for no requests for a time, before relays that send what callers want.
+/// Backoffs that runners request from relays.
 ///
-/// A third of a service's engines declined nearly half of what reached them and asked each relay
-/// for three seconds without requests. Relays took that for being full for a moment, and sent on.
+/// Guards against relays that ignore a requested backoff. A third of a service's engines declined
+/// nearly half of their requests and requested a backoff of three seconds from each relay. The
+/// relays treated them as full for a moment, and sent further requests.
 #include <algorithm>
 #include <cstdint>
 #include <deque>
@@ -22,18 +23,18 @@
 constexpr size_t kRelays = 12;
 constexpr int kRunners = 12;
 constexpr int kDecliningRunners = 4;
-constexpr double kDeclinedPart = 0.45;
+constexpr double kDeclineProbability = 0.45;
 constexpr uint32_t kBackoffMs = 3000;
-/// After its answer the runner bears what was on its way for so long.
-constexpr int64_t kOnTheWayMs = 500;
-/// Requests of one relay that a runner bears within a backoff.
-constexpr int kBorneInBackoff = 2;
-constexpr int64_t kSeriesMs = 9000;
+/// Time after the response in which the runner accepts requests that were already on their way.
+constexpr int64_t kInFlightMs = 500;
+/// Maximum number of requests of one relay that may reach a runner within a backoff.
+constexpr int kMaxArrivalsInBackoff = 2;
+constexpr int64_t kDurationMs = 9000;
 constexpr double kRequestsPerS = 62;
 constexpr int64_t kRunMs = 600;
-constexpr int kDeclinesOfARequest = 3;
+constexpr int kMaxDeclines = 3;
 
-/// One relay, its attempts in progress, and what the runners declined.
+/// One relay, its attempts in progress, and the backoffs that runners requested.
 struct Relay {
   relay::RunnerTable table{relay::RunnerTableOptions{}};
   struct Running {
@@ -41,11 +42,11 @@
     int64_t ends_ms = 0;
   };
   std::deque<Running> running;
-  struct Asked {
+  struct BackoffRequest {
     int64_t at_ms = 0;
     int arrivals = 0;
   };
-  std::map<std::string, std::vector<Asked>> asked;
+  std::map<std::string, std::vector<BackoffRequest>> backoff_requests;
 
   void endRuns(int64_t now_ms) {
     while (!running.empty() && running.front().ends_ms <= now_ms) {
@@ -55,16 +56,16 @@
   }
 
   void countArrival(const std::string& runner, int64_t now_ms) {
-    for (Asked& one : asked[runner]) {
+    for (BackoffRequest& one : backoff_requests[runner]) {
       const int64_t after_ms = now_ms - one.at_ms;
-      one.arrivals += after_ms > kOnTheWayMs && after_ms < int64_t{kBackoffMs} ? 1 : 0;
+      one.arrivals += after_ms > kInFlightMs && after_ms < int64_t{kBackoffMs} ? 1 : 0;
     }
   }
 
-  int mostArrivals() const {
+  int maxArrivals() const {
     int most = 0;
-    for (const auto& [runner, all] : asked) {
-      for (const Asked& one : all) {
+    for (const auto& [runner, all] : backoff_requests) {
+      for (const BackoffRequest& one : all) {
         most = std::max(most, one.arrivals);
       }
     }
@@ -73,7 +74,7 @@
 };
 
 struct Outcome {
-  int most_arrivals = 0;
+  int max_arrivals = 0;
   size_t requests = 0;
   size_t served = 0;
   size_t declines = 0;
@@ -93,10 +94,10 @@
   return list;
 }
 
-/// One request of a caller at one relay. @return whether a runner runs it.
+/// Sends one request of a caller at one relay. @return whether a runner runs it.
 bool serve(Relay& at, relay::RunnerRequest request, std::mt19937_64& random, Outcome& outcome) {
-  std::uniform_real_distribution<double> part(0, 1);
-  for (int tries = 0; tries < kDeclinesOfARequest; ++tries) {
+  std::uniform_real_distribution<double> uniform(0, 1);
+  for (int tries = 0; tries < kMaxDeclines; ++tries) {
     const auto chosen = at.table.choose(request);
     const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
     if (choice == nullptr) {
@@ -106,20 +107,20 @@
     at.countArrival(runner->entry.id(), request.now_ms);
     at.table.beginAttempt(*runner, request.now_ms);
     const bool declining = runner->entry.id() < "r" + std::to_string(100 + kDecliningRunners);
-    if (!declining || part(random) >= kDeclinedPart) {
+    if (!declining || uniform(random) >= kDeclineProbability) {
       at.running.push_back({.runner = runner, .ends_ms = request.now_ms + kRunMs});
       return true;
     }
     ++outcome.declines;
     at.table.applyNotice(*runner, relay::RunnerNotice{.backoff_ms = kBackoffMs}, request.now_ms);
     at.table.endAttempt(*runner, relay::AttemptOutcome::Refused, request.now_ms);
-    at.asked[runner->entry.id()].push_back({.at_ms = request.now_ms});
+    at.backoff_requests[runner->entry.id()].push_back({.at_ms = request.now_ms});
     request.excluded.push_back(runner->entry.id());
   }
   return false;
 }
 
-Outcome playSeries(uint64_t seed) {
+Outcome simulate(uint64_t seed) {
   std::mt19937_64 random(seed);
   std::exponential_distribution<double> pause_ms(kRequestsPerS / 1000);
   std::vector<Relay> relays(kRelays);
@@ -128,13 +129,13 @@
   }
   Outcome outcome;
   const double begin_ms = 1000;
-  for (double now = begin_ms; now < begin_ms + kSeriesMs; now += pause_ms(random)) {
+  for (double now = begin_ms; now < begin_ms + kDurationMs; now += pause_ms(random)) {
     const auto now_ms = static_cast<int64_t>(now);
     Relay& at = relays[random() % kRelays];
     at.endRuns(now_ms);
-    constexpr uint64_t kParts = 40;
+    constexpr uint64_t kPrefixes = 40;
     relay::RunnerRequest request{.service = "s",
-                                 .cache_key = 1 + random() % kParts,
+                                 .cache_key = 1 + random() % kPrefixes,
                                  .zone = "z",
                                  .now_ms = now_ms,
                                  .engine = true,
@@ -143,20 +144,20 @@
     outcome.served += serve(at, std::move(request), random, outcome) ? 1 : 0;
   }
   for (const Relay& one : relays) {
-    outcome.most_arrivals = std::max(outcome.most_arrivals, one.mostArrivals());
+    outcome.max_arrivals = std::max(outcome.max_arrivals, one.maxArrivals());
   }
   return outcome;
 }
 
 } // namespace
 
-TEST_CASE("Runners that ask for no requests for three seconds get them all the same") {
+TEST_CASE("Runners that requested a backoff of three seconds still get requests") {
   for (const uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
     CAPTURE(seed);
-    const Outcome outcome = playSeries(seed);
+    const Outcome outcome = simulate(seed);
     MESSAGE("requests ", outcome.requests, ", served ", outcome.served, ", declines ",
-            outcome.declines, ", most arrivals in a backoff ", outcome.most_arrivals);
-    CHECK(outcome.most_arrivals <= kBorneInBackoff);
+            outcome.declines, ", most arrivals in a backoff ", outcome.max_arrivals);
+    CHECK(outcome.max_arrivals <= kMaxArrivalsInBackoff);
   }
 }
 
@@ -170,7 +171,7 @@
   return list;
 }
 
-v1::RunnerList nobody(uint64_t version) {
+v1::RunnerList emptyList(uint64_t version) {
   v1::RunnerList list;
   list.set_version(version);
   return list;
@@ -181,7 +182,7 @@
   return std::holds_alternative<relay::RunnerChoice>(table.choose(request));
 }
 
-/// A table of one runner, born at 5, that asked at 1000 for what the notice says.
+/// A table of one runner, started at 5, that sent this notice at 1000.
 relay::RunnerTable tableAfter(const relay::RunnerNotice& notice) {
   relay::RunnerTable table{relay::RunnerTableOptions{}};
   table.setList(oneRunner(1, 5), 0);
@@ -189,76 +190,77 @@
   return table;
 }
 
-const relay::RunnerNotice kAsksForThreeSeconds{.backoff_ms = kBackoffMs};
+const relay::RunnerNotice kThreeSecondBackoff{.backoff_ms = kBackoffMs};
 
 } // namespace
 
-TEST_CASE("A runner that is missing from a list for a moment is sent requests in its backoff") {
-  relay::RunnerTable table = tableAfter(kAsksForThreeSeconds);
+TEST_CASE(
+    "A runner that is temporarily missing from the list is sent requests during its backoff") {
+  relay::RunnerTable table = tableAfter(kThreeSecondBackoff);
   const auto before = table.runners()[0];
-  table.setList(nobody(2), 1500);
+  table.setList(emptyList(2), 1500);
   table.setList(oneRunner(3, 5), 2000);
   CHECK_FALSE(getsRequests(table, 2000));
-  // An answer to an attempt that began before counts for the runner that is listed now.
-  table.applyNotice(*before, kAsksForThreeSeconds, 3000);
+  // A response to an attempt that began before is applied to the runner that is listed now.
+  table.applyNotice(*before, kThreeSecondBackoff, 3000);
   CHECK_FALSE(getsRequests(table, 5999));
   CHECK(getsRequests(table, 6000));
 }
 
-TEST_CASE("A relay that reads the list by itself forgets what runners asked for") {
-  relay::RunnerTable table = tableAfter(kAsksForThreeSeconds);
-  // Cut off from the group: the list comes from the platform, without a version.
+TEST_CASE("A relay that reads the list from the platform loses the requested backoffs") {
+  relay::RunnerTable table = tableAfter(kThreeSecondBackoff);
+  // Without a connection to the group, the list is read from the platform and has no version.
   table.setList(oneRunner(0, 5), 2000);
   CHECK_FALSE(getsRequests(table, 2000));
   CHECK(getsRequests(table, 4000));
 }
 
-TEST_CASE("A runner that has started again waits for the end of its former process's backoff") {
-  relay::RunnerTable table = tableAfter(kAsksForThreeSeconds);
+TEST_CASE("A restarted runner gets no requests until the backoff of its former process ends") {
+  relay::RunnerTable table = tableAfter(kThreeSecondBackoff);
   const auto former = table.runners()[0];
   table.setList(oneRunner(2, 9), 1500);
   CHECK(getsRequests(table, 1500));
-  // A late answer of the former process says nothing of the present one.
-  table.applyNotice(*former, kAsksForThreeSeconds, 1600);
+  // A late response of the former process does not affect the present one.
+  table.applyNotice(*former, kThreeSecondBackoff, 1600);
   CHECK(getsRequests(table, 1600));
 }
 
-TEST_CASE("A shorter backoff ends a longer one that a runner asked for before") {
-  relay::RunnerTable table = tableAfter(kAsksForThreeSeconds);
+TEST_CASE("A shorter backoff ends a longer one that the runner requested before") {
+  relay::RunnerTable table = tableAfter(kThreeSecondBackoff);
   table.applyNotice(*table.runners()[0], relay::RunnerNotice{.backoff_ms = 100}, 1500);
   CHECK_FALSE(getsRequests(table, 3999));
   CHECK(getsRequests(table, 4000));
 }
 
-TEST_CASE("The rest of a stream that broke goes to a runner that wants no requests") {
-  relay::RunnerTable table = tableAfter(kAsksForThreeSeconds);
+TEST_CASE("A resumed stream goes to a runner that is backing off") {
+  relay::RunnerTable table = tableAfter(kThreeSecondBackoff);
   const relay::RunnerRequest rest{
       .service = "s", .zone = "z", .now_ms = 2000, .ignores_limits = true};
   CHECK(std::get<relay::NoRunner>(table.choose(rest)) == relay::NoRunner::AllBackingOff);
 }
 
-TEST_CASE("A runner that said it is leaving gets requests again from a list that calls it ready") {
+TEST_CASE("A runner that announced its end gets requests again after a list that calls it ready") {
   relay::RunnerTable table = tableAfter(relay::RunnerNotice{.leaving = true});
   constexpr int64_t kLaterMs = 60'000;
   CHECK_FALSE(getsRequests(table, 1000));
   table.setList(oneRunner(2, 5), 2000);
   CHECK_FALSE(getsRequests(table, kLaterMs));
-  table.setList(nobody(3), kLaterMs);
+  table.setList(emptyList(3), kLaterMs);
   table.setList(oneRunner(0, 5), kLaterMs + 1000);
   CHECK_FALSE(getsRequests(table, kLaterMs + 1000));
-  // Nobody knows when another runner comes: no time is told.
+  // It is unknown when another runner starts, so that no time is returned.
   CHECK(table.backoffLeftMs("s", kLaterMs + 1000) == 0);
-  // Its successor under its id has not said so.
+  // The next process under its id has not announced that it is leaving.
   table.setList(oneRunner(4, 9), kLaterMs + 2000);
   CHECK(getsRequests(table, kLaterMs + 2000));
 }
 
-TEST_CASE("Backoffs of runners that are over take memory for good") {
+TEST_CASE("Expired backoffs are never removed from memory") {
   relay::RunnerBackoffs backoffs;
   constexpr uint64_t kIncarnations = 100'000;
   for (uint64_t incarnation = 1; incarnation <= kIncarnations; ++incarnation) {
-    backoffs.note(incarnation, relay::RunnerNotice{.backoff_ms = 10},
-                  static_cast<int64_t>(incarnation));
+    backoffs.record(incarnation, relay::RunnerNotice{.backoff_ms = 10},
+                    static_cast<int64_t>(incarnation));
   }
   CHECK(backoffs.size() <= 4096);
   CHECK(backoffs.find(kIncarnations).holds(kIncarnations + 9));
--- a/tests/unit/core/relay/runner_crash_monitor_test.cc
+++ b/tests/unit/core/relay/runner_crash_monitor_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What a relay takes for the end of a runner, and which requests it reports.
+/// Detection of runner crashes at a relay, and the requests that it reports.
 #include <doctest/doctest.h>
 
 #include "core/relay/runner_crash_monitor.h"
@@ -27,13 +27,13 @@
 
 } // namespace
 
-TEST_CASE("A cut is reported once the runner's address refuses connections") {
+TEST_CASE("A disconnect is reported once the runner's address refuses connections") {
   RunnerCrashMonitor monitor;
   CHECK(monitor.recordDisconnect(kRunner, request(1), 1000) == AfterDisconnect::Probe);
   CHECK(monitor.recordDisconnect(kRunner, request(2), 1001) == AfterDisconnect::Nothing);
   CHECK(reportsIn(monitor, false, 1002) == 0);
   CHECK(monitor.recordConnectionRefused(kRunner, 1003));
-  // The connection of a third request is found cut a moment later.
+  // The disconnect of a third request is detected a moment later.
   CHECK(monitor.recordDisconnect(kRunner, request(3), 1010) == AfterDisconnect::Report);
   v1::LeaseRenewal renewal;
   monitor.fill(renewal, false, 1100);
@@ -43,23 +43,23 @@
   CHECK(renewal.runner_ends(2).request().content() == 3);
 }
 
-TEST_CASE("A runner that breaks an answer off and goes on listening has not ended") {
+TEST_CASE("A runner that breaks off a response and keeps listening has not crashed") {
   RunnerCrashMonitor monitor;
   CHECK(monitor.recordDisconnect(kRunner, request(1), 1000) == AfterDisconnect::Probe);
   monitor.recordListening(kRunner);
-  // It is refused later, when the process is restarted in a planned way.
+  // A later connection is refused because of a planned restart.
   CHECK_FALSE(monitor.recordConnectionRefused(kRunner, 1400));
   CHECK(reportsIn(monitor, true, 1500) == 0);
 }
 
-TEST_CASE("A refusal long after a cut is of another event") {
+TEST_CASE("A refused connection long after a disconnect belongs to another event") {
   RunnerCrashMonitor monitor;
   monitor.recordDisconnect(kRunner, request(1), 1000);
   CHECK_FALSE(monitor.recordConnectionRefused(kRunner, 2500));
   CHECK(monitor.recordDisconnect(kRunner, request(2), 4000) == AfterDisconnect::Probe);
 }
 
-TEST_CASE("A runner that breaks off answer after answer is looked at now and then only") {
+TEST_CASE("A runner that repeatedly breaks off responses is probed at a limited rate") {
   RunnerCrashMonitor monitor;
   int looks = 0;
   for (int64_t now_ms = 1000; now_ms < 6000; now_ms += 10) {
@@ -70,7 +70,7 @@
   CHECK(looks <= 11);
 }
 
-TEST_CASE("A report is told once on a link, and again on the next") {
+TEST_CASE("A report is sent once on a link, and again on the next one") {
   RunnerCrashMonitor monitor;
   monitor.recordDisconnect(kRunner, request(1), 1000);
   monitor.recordConnectionRefused(kRunner, 1001);
@@ -80,7 +80,7 @@
   CHECK(reportsIn(monitor, true, 1000 + relay::kCrashWindowMs) == 0);
 }
 
-TEST_CASE("A request that ran whole lately is not reported") {
+TEST_CASE("A request that completed recently is not reported") {
   RunnerCrashMonitor monitor;
   monitor.recordCompleted(request(1), 1000);
   CHECK(monitor.recordDisconnect(kRunner, request(1), 20'000) == AfterDisconnect::Nothing);
@@ -89,7 +89,7 @@
   CHECK(monitor.recordDisconnect(8, request(1), 100'000) == AfterDisconnect::Probe);
 }
 
-TEST_CASE("Memory of whole runs and of reports is bounded") {
+TEST_CASE("The memory for completed requests and for reports is bounded") {
   RunnerCrashMonitor monitor;
   for (uint64_t content = 1; content <= 20'000; ++content) {
     monitor.recordCompleted(request(content), 1000);
--- a/tests/unit/core/relay/runner_incarnation_test.cc
+++ b/tests/unit/core/relay/runner_incarnation_test.cc
@@ -1,10 +1,10 @@
 /// @file
-/// A runner that starts again under its id: nothing that was known of it before counts.
+/// A runner that restarts under its id must not inherit the state of its former process.
 ///
-/// A runner's process ended and was back two seconds later under the same id. Its start, which the
-/// list told, was not read, so that the failures, the load and the parts of prompts of the process
-/// before were held for its own: it was avoided for seconds, and named as a source of prompts that
-/// it had lost.
+/// Guards against ignoring the start time in the list: a runner's process ended and was back two
+/// seconds later under the same id. The failures, load and cached prefixes of the former process
+/// were attributed to the new one, so that it was avoided for seconds and named as a copy source of
+/// prefixes that it had lost.
 #include <string>
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// A list of one runner. @param born_ms zero: it told no start
+/// A list of one runner. @param born_ms zero: the start is unknown
 v1::RunnerList listOf(uint64_t version, uint64_t born_ms) {
   v1::RunnerList list;
   list.set_version(version);
@@ -41,7 +41,7 @@
   return table;
 }
 
-/// @return whether the table takes the second list's runner for another process.
+/// @return whether the table treats the second list's runner as another process.
 bool isOtherIncarnation(uint64_t born_ms, uint64_t born_later_ms) {
   relay::RunnerTable table = tableOf(listOf(1, born_ms));
   const auto former = table.runners()[0];
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("Failures, load and warmth of a runner end with its process") {
+TEST_CASE("Failures, load and warm state of a runner end with its process") {
   relay::RunnerTable table = tableOf(listOf(1, 5000));
   const auto former = table.runners()[0];
   CHECK(table.coldMs(*former, 1000) == 0);
@@ -64,13 +64,13 @@
   CHECK(present->avoid_until_ms == 0);
   CHECK(present->load() == 0);
   CHECK(table.coldMs(*present, 2000) > 0);
-  // What is still in progress at the former process ends there.
+  // Attempts in progress at the former process end there.
   table.endAttempt(*former, relay::AttemptOutcome::Failed, 2100);
   CHECK(present->failures_in_row == 0);
   CHECK(table.ownLoads(2100).in_progress_size() == 0);
 }
 
-TEST_CASE("A runner that is back keeps no parts and no places of before") {
+TEST_CASE("A restarted runner keeps no prefixes and no slots in use") {
   relay::RunnerTable table = tableOf(listOf(1, 5000));
   const uint64_t former = table.runners()[0]->fingerprint;
   CHECK(table.isCopySource(former, 1000));
@@ -79,7 +79,7 @@
   CHECK_FALSE(table.isCopySource(former, 2000));
   CHECK(table.isCopySource(present, 2000));
   CHECK_FALSE(table.ownedRunner(former, 2000).listed);
-  // Its owner counts anew, also when a use of the former process is told late.
+  // Its owner starts with an empty count, also when the use of the former process is reported late.
   relay::SlotOwner owner;
   v1::PlaceUse use;
   use.set_runner(former);
@@ -90,7 +90,7 @@
   CHECK(owner.loadOf(present) == 0);
 }
 
-TEST_CASE("Any other start is another process, also an earlier one, or one where none was told") {
+TEST_CASE("Any other start time is another process, also an earlier or an unknown one") {
   CHECK(isOtherIncarnation(5000, 9000));
   CHECK(isOtherIncarnation(5000, 4000));
   CHECK(isOtherIncarnation(0, 9000));
@@ -99,7 +99,8 @@
   CHECK_FALSE(isOtherIncarnation(0, 0));
 }
 
-TEST_CASE("The leader tells relays of a runner that is back, and maps no load of before to it") {
+TEST_CASE(
+    "The leader reports a restarted runner to relays, and drops the loads of its former process") {
   CHECK_FALSE(relay::fingerprintOf(listOf(1, 5000)) == relay::fingerprintOf(listOf(1, 9000)));
   relay::RunnerListHistory history;
   history.add(listOf(1, 5000));
@@ -122,7 +123,7 @@
   CHECK(led.updateAsLeader(listOf(0, 9000), versions) == relay::ListChange::Runners);
 }
 
-TEST_CASE("Of two entries under one id that of the later process counts, else the first") {
+TEST_CASE("Of several entries with one id the one of the latest process is used, else the first") {
   v1::RunnerList list = listOf(1, 5000);
   *list.add_runners() = listOf(1, 9000).runners(0);
   *list.add_runners() = listOf(1, 7000).runners(0);
--- a/tests/unit/core/relay/runner_table_test.cc
+++ b/tests/unit/core/relay/runner_table_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The choice of a runner: homes of cached prompts, loads, runners that fail or leave.
+/// Choice of a runner: homes of cached prompts, loads, and runners that fail or leave.
 #include <algorithm>
 #include <memory>
 #include <optional>
@@ -29,7 +29,7 @@
   return list;
 }
 
-relay::RunnerRequest wish(uint64_t cache_key = 0) {
+relay::RunnerRequest makeRequest(uint64_t cache_key = 0) {
   return relay::RunnerRequest{
       .service = "s", .cache_key = cache_key, .zone = "z", .now_ms = 1000, .rank = {.draw = 1}};
 }
@@ -47,43 +47,43 @@
 
 } // namespace
 
-TEST_CASE("A cached prompt goes to the same home while loads allow") {
+TEST_CASE("A cached prompt goes to the same home while loads allow it") {
   relay::RunnerTable table({});
   table.setList(listOf(8), 0);
-  const auto home = chosen(table, wish(42))->runner;
+  const auto home = chosen(table, makeRequest(42))->runner;
   for (int i = 0; i < 3; ++i) {
-    CHECK(chosen(table, wish(42))->runner == home);
+    CHECK(chosen(table, makeRequest(42))->runner == home);
     table.beginAttempt(*home, 1000);
   }
 }
 
-TEST_CASE("A home that is loaded over the rest is left") {
+TEST_CASE("A home with a much higher load than the others is passed over") {
   relay::RunnerTable table({});
   table.setList(listOf(8), 0);
-  const auto home = chosen(table, wish(42))->runner;
+  const auto home = chosen(table, makeRequest(42))->runner;
   for (int i = 0; i < 12; ++i) {
     table.beginAttempt(*home, 1000);
   }
-  const auto other = chosen(table, wish(42));
+  const auto other = chosen(table, makeRequest(42));
   CHECK(other->runner != home);
   CHECK(other->passed_over >= 1);
 }
 
-TEST_CASE("Loads of the other relays count until they are stale") {
+TEST_CASE("Loads of the other relays are used until they are stale") {
   relay::RunnerTable table({});
   table.setList(listOf(3, 7), 0);
-  v1::RunnerLoads sums;
-  sums.set_list_version(7);
-  sums.add_in_progress(9);
-  sums.add_in_progress(0);
-  sums.add_in_progress(9);
-  table.setLoadTotals(sums, table.ownLoads(1000), 1000);
-  CHECK(chosen(table, wish())->runner->entry.id() == "r1");
-  sums.set_list_version(6);
-  sums.set_in_progress(1, 100);
-  table.setLoadTotals(sums, table.ownLoads(1000), 1000);
-  CHECK(chosen(table, wish())->runner->load() == 0);
-  relay::RunnerRequest later = wish();
+  v1::RunnerLoads totals;
+  totals.set_list_version(7);
+  totals.add_in_progress(9);
+  totals.add_in_progress(0);
+  totals.add_in_progress(9);
+  table.setLoadTotals(totals, table.ownLoads(1000), 1000);
+  CHECK(chosen(table, makeRequest())->runner->entry.id() == "r1");
+  totals.set_list_version(6);
+  totals.set_in_progress(1, 100);
+  table.setLoadTotals(totals, table.ownLoads(1000), 1000);
+  CHECK(chosen(table, makeRequest())->runner->load() == 0);
+  relay::RunnerRequest later = makeRequest();
   later.now_ms = 10'000;
   (void)chosen(table, later);
   CHECK(table.runners()[0]->load() == 0);
@@ -94,20 +94,20 @@
   v1::RunnerList list = listOf(3);
   list.mutable_runners(0)->set_leaving(true);
   table.setList(list, 0);
-  relay::RunnerRequest request = wish();
+  relay::RunnerRequest request = makeRequest();
   request.excluded = {"r1"};
   CHECK(chosen(table, request)->runner->entry.id() == "r2");
   request.excluded = {"r1", "r2"};
   CHECK_FALSE(chosen(table, request));
 }
 
-TEST_CASE("A runner that can't be reached is avoided, but is the last resort") {
+TEST_CASE("A runner that can't be reached is avoided, but used as a last resort") {
   relay::RunnerTable table({});
   table.setList(listOf(2), 0);
-  const auto bad = chosen(table, wish())->runner;
+  const auto bad = chosen(table, makeRequest())->runner;
   table.beginAttempt(*bad, 1000);
   table.endAttempt(*bad, relay::AttemptOutcome::Unreachable, 1000);
-  relay::RunnerRequest request = wish();
+  relay::RunnerRequest request = makeRequest();
   request.now_ms = 1001;
   CHECK(chosen(table, request)->runner != bad);
   request.excluded = {chosen(table, request)->runner->entry.id()};
@@ -116,14 +116,14 @@
   CHECK(last->last_resort);
 }
 
-TEST_CASE("Full runners get nothing more; a stream that broke goes on all the same") {
+TEST_CASE("Full runners get no requests except resumed streams") {
   relay::RunnerTable table({});
   v1::RunnerList list = listOf(2);
   for (v1::RunnerEntry& entry : *list.mutable_runners()) {
     entry.set_slots(10);
   }
   table.setList(list, 0);
-  relay::RunnerRequest request = wish(42);
+  relay::RunnerRequest request = makeRequest(42);
   request.engine = true;
   for (int i = 0; i < 10; ++i) {
     table.beginAttempt(*table.runners()[0], 1000);
@@ -137,25 +137,25 @@
   CHECK(chosen(table, request)->runner == table.runners()[1]);
 }
 
-TEST_CASE("While most places are free a home may have a few requests more than places") {
+TEST_CASE("While most slots are free a home may get a few requests more than its slots") {
   relay::RunnerTable table({});
   v1::RunnerList list = listOf(8);
   for (v1::RunnerEntry& entry : *list.mutable_runners()) {
     entry.set_slots(4);
   }
   table.setList(list, 0);
-  relay::RunnerRequest request = wish(42);
+  relay::RunnerRequest request = makeRequest(42);
   request.engine = true;
   request.rank.priority = 9;
   const auto home = chosen(table, request)->runner;
-  // More than its places, and under twice the mean plus three.
+  // The home has more requests than slots, and less than twice the mean plus three.
   for (const auto& runner : table.runners()) {
     for (int i = 0; i < (runner == home ? 5 : 2); ++i) {
       table.beginAttempt(*runner, 1000);
     }
   }
   CHECK(chosen(table, request)->runner == home);
-  // The others fill up: now the last places of all are kept for the more urgent.
+  // The other runners fill up, so that the last slots of all are reserved for more urgent requests.
   for (const auto& runner : table.runners()) {
     while (runner != home && runner->load() < 4) {
       table.beginAttempt(*runner, 1000);
@@ -164,25 +164,25 @@
   CHECK(std::get<relay::NoRunner>(table.choose(request)) == relay::NoRunner::AllFull);
 }
 
-TEST_CASE("A runner that declined counts as full for a moment, not as failing") {
+TEST_CASE("A runner that declined a request counts as full for a moment, not as failing") {
   relay::RunnerTable table({});
   table.setList(listOf(1), 0);
-  const auto runner = chosen(table, wish())->runner;
+  const auto runner = chosen(table, makeRequest())->runner;
   table.beginAttempt(*runner, 1000);
   table.endAttempt(*runner, relay::AttemptOutcome::Refused, 1000);
-  CHECK(std::get<relay::NoRunner>(table.choose(wish())) == relay::NoRunner::AllFull);
-  relay::RunnerRequest later = wish();
+  CHECK(std::get<relay::NoRunner>(table.choose(makeRequest())) == relay::NoRunner::AllFull);
+  relay::RunnerRequest later = makeRequest();
   later.now_ms = 1200;
   CHECK(chosen(table, later));
   CHECK(table.ownLoads(1000).suspects_size() == 0);
 }
 
-TEST_CASE("A runner that declined with few requests is tried again soon") {
+TEST_CASE("A runner that declined while it had few requests is tried again earlier") {
   relay::RunnerTable table({});
   v1::RunnerList list = listOf(1);
   list.mutable_runners(0)->set_slots(6);
   table.setList(list, 0);
-  const auto runner = chosen(table, wish())->runner;
+  const auto runner = chosen(table, makeRequest())->runner;
   const auto declineWith = [&](uint32_t others) {
     runner->others_in_progress = others;
     table.beginAttempt(*runner, 1000);
@@ -193,19 +193,19 @@
   CHECK(declineWith(5) == 1100);
 }
 
-TEST_CASE("Relays that see the same sums fill a busy runner no further than it may be") {
+TEST_CASE("Relays with the same load totals fill a busy runner to its limit and no further") {
   constexpr size_t kRelays = 10;
   constexpr uint32_t kPlaces = 48;
   v1::RunnerList list = listOf(1, 7);
   list.mutable_runners(0)->set_slots(kPlaces);
   uint32_t before = 0;
-  SUBCASE("some places are free") { before = 33; }
-  SUBCASE("few places are free") { before = 45; }
-  SUBCASE("it is too full") { before = 70; }
+  SUBCASE("some slots are free") { before = 33; }
+  SUBCASE("few slots are free") { before = 45; }
+  SUBCASE("the runner is over its limit") { before = 70; }
   std::vector<std::unique_ptr<relay::RunnerTable>> relays;
-  v1::RunnerLoads sums;
-  sums.set_list_version(7);
-  sums.add_in_progress(before);
+  v1::RunnerLoads totals;
+  totals.set_list_version(7);
+  totals.add_in_progress(before);
   uint32_t total = 0;
   for (size_t i = 0; i < kRelays; ++i) {
     auto table = std::make_unique<relay::RunnerTable>(relay::RunnerTableOptions{});
@@ -215,17 +215,17 @@
     for (uint32_t started = 0; started < own; ++started) {
       table->beginAttempt(*table->runners()[0], 1000);
     }
-    // As many requests as in the rounds below came before these sums.
+    // Before these totals as many requests arrive as in the rounds below.
     for (int asked = 0; asked < 4; ++asked) {
-      (void)table->choose(wish(42));
+      (void)table->choose(makeRequest(42));
     }
-    table->setLoadTotals(sums, table->ownLoads(1000), 1000);
+    table->setLoadTotals(totals, table->ownLoads(1000), 1000);
     relays.push_back(std::move(table));
   }
   std::mt19937_64 random(before);
   for (int round = 0; round < 4; ++round) {
     for (auto& table : relays) {
-      relay::RunnerRequest request = wish(42);
+      relay::RunnerRequest request = makeRequest(42);
       request.engine = true;
       request.rank.draw = random();
       if (chosen(*table, request)) {
@@ -236,12 +236,12 @@
   for (auto& table : relays) {
     total += table->runners()[0]->in_progress;
   }
-  // By chance a few more or less than was free.
+  // Because of the random draws, the result may differ a little from the number of free slots.
   CHECK(total <= std::max(before, kPlaces + static_cast<uint32_t>(kRelays)));
   CHECK(total >= std::min(before, kPlaces - 6));
 }
 
-TEST_CASE("What is known of a runner outlives a new list") {
+TEST_CASE("The state of a runner survives a new list") {
   relay::RunnerTable table({});
   table.setList(listOf(2, 1), 0);
   const auto runner = table.runners()[0];
@@ -254,12 +254,12 @@
   CHECK(runner->gone);
 }
 
-TEST_CASE("A runner that falls silent with requests in progress is avoided and reported") {
+TEST_CASE("A runner that sends nothing while requests are in progress is avoided and reported") {
   relay::RunnerTable table({});
   table.setList(listOf(4, 7), 0);
-  const auto home = chosen(table, wish(42))->runner;
+  const auto home = chosen(table, makeRequest(42))->runner;
   table.beginAttempt(*home, 1000);
-  relay::RunnerRequest later = wish(42);
+  relay::RunnerRequest later = makeRequest(42);
   later.now_ms = 1400;
   CHECK(chosen(table, later)->runner == home);
   later.now_ms = 1600;
@@ -270,24 +270,24 @@
   CHECK(table.ownLoads(1600).suspects_size() == 0);
 }
 
-TEST_CASE("A runner that other relays suspect is avoided for a while") {
+TEST_CASE("A runner that other relays suspect is avoided for a limited time") {
   relay::RunnerTable table({});
   table.setList(listOf(4, 7), 0);
-  const auto home = chosen(table, wish(42))->runner;
-  relay::LoadTotals sums(7, 4);
+  const auto home = chosen(table, makeRequest(42))->runner;
+  relay::LoadTotals totals(7, 4);
   v1::RunnerLoads report = table.ownLoads(1000);
   for (uint32_t i = 0; i < 4; ++i) {
     if (table.runners()[i] == home) {
       report.add_suspects(i);
     }
   }
-  sums.add(report);
-  CHECK(sums.totals().suspects_size() == 0);
-  sums.add(report);
-  REQUIRE(sums.totals().suspects_size() == 1);
-  table.setLoadTotals(sums.totals(), table.ownLoads(1000), 1000);
-  CHECK(chosen(table, wish(42))->runner != home);
-  relay::RunnerRequest later = wish(42);
+  totals.add(report);
+  CHECK(totals.totals().suspects_size() == 0);
+  totals.add(report);
+  REQUIRE(totals.totals().suspects_size() == 1);
+  table.setLoadTotals(totals.totals(), table.ownLoads(1000), 1000);
+  CHECK(chosen(table, makeRequest(42))->runner != home);
+  relay::RunnerRequest later = makeRequest(42);
   later.now_ms = 2000;
   CHECK(chosen(table, later)->runner == home);
 }
--- a/tests/unit/core/relay/runner_updates_test.cc
+++ b/tests/unit/core/relay/runner_updates_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What of the list of runners and of their loads travels between leader and relays.
+/// Messages between the leader and relays about the list of runners and their loads.
 #include <string>
 
 #include <doctest/doctest.h>
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("A relay that holds a remembered list is told what came, went and changed") {
+TEST_CASE("A relay with a list that the leader still keeps receives only the changes") {
   relay::RunnerListHistory history;
   const v1::RunnerList first = listOf(1, {"a", "b", "c", "d"});
   v1::RunnerList second = listOf(2, {"a", "c", "d", "e"});
@@ -44,7 +44,7 @@
   CHECK(history.updateFrom(2).changed_size() == 0);
 }
 
-TEST_CASE("A relay with an unknown list is told the whole list") {
+TEST_CASE("A relay with an unknown list receives the whole list") {
   relay::RunnerListHistory history;
   const v1::RunnerList list = listOf(7, {"a", "b"});
   history.add(list);
@@ -55,7 +55,7 @@
   CHECK(history.updateFrom(7).base_version() == 0);
 }
 
-TEST_CASE("A long list travels compressed") {
+TEST_CASE("A long list is sent compressed") {
   relay::RunnerListHistory history;
   v1::RunnerList list;
   list.set_version(4);
@@ -75,20 +75,20 @@
   CHECK(isError(relay::applyUpdate({}, damaged)));
 }
 
-TEST_CASE("An update for another list is an error") {
+TEST_CASE("An update with another base version is an error") {
   relay::RunnerListHistory history;
   history.add(listOf(1, {"a"}));
   history.add(listOf(2, {"a", "b"}));
   CHECK(isError(relay::applyUpdate(listOf(5, {"a"}), history.updateFrom(1))));
 }
 
-TEST_CASE("Counts arrive as they were written, few or many") {
+TEST_CASE("Counts are decoded as they were encoded, whether sparse or not") {
   SeededRandom random(3);
   for (int i = 0; i < 500; ++i) {
     std::vector<uint32_t> counts(random.below(40));
-    const uint64_t part = random.below(4);
+    const uint64_t density = random.below(4);
     for (uint32_t& count : counts) {
-      count = random.below(4) < part ? static_cast<uint32_t>(random.below(300)) : 0;
+      count = random.below(4) < density ? static_cast<uint32_t>(random.below(300)) : 0;
     }
     v1::RunnerLoads loads;
     relay::setCounts(loads, counts);
@@ -96,7 +96,7 @@
   }
 }
 
-TEST_CASE("A report of a large fleet names only the runners with work") {
+TEST_CASE("A report of a large fleet contains only the runners with requests in progress") {
   std::vector<uint32_t> counts(3000, 0);
   counts[17] = 2;
   counts[2999] = 1;
@@ -107,7 +107,7 @@
   CHECK_FALSE(relay::countsOf(loads, 2999));
 }
 
-TEST_CASE("Reports about an older list count at the same runners of the newest") {
+TEST_CASE("Reports about an older list are added at the same runners of the newest list") {
   relay::RunnerListHistory history;
   v1::RunnerList old;
   old.set_version(3);
@@ -130,14 +130,14 @@
   report.set_list_version(3);
   relay::setCounts(report, {5, 6, 7});
   report.add_suspects(2);
-  relay::LoadTotals sums(4, 3);
-  sums.add(report);
-  CHECK(*relay::countsOf(sums.totals(), 3) == std::vector<uint32_t>{0, 0, 0});
-  sums.addFromOlderList(report, *positions);
-  sums.addFromOlderList(report, *positions);
-  CHECK(*relay::countsOf(sums.totals(), 3) == std::vector<uint32_t>{12, 0, 14});
-  REQUIRE(sums.totals().suspects_size() == 1);
-  CHECK(sums.totals().suspects(0) == 2);
+  relay::LoadTotals totals(4, 3);
+  totals.add(report);
+  CHECK(*relay::countsOf(totals.totals(), 3) == std::vector<uint32_t>{0, 0, 0});
+  totals.addFromOlderList(report, *positions);
+  totals.addFromOlderList(report, *positions);
+  CHECK(*relay::countsOf(totals.totals(), 3) == std::vector<uint32_t>{12, 0, 14});
+  REQUIRE(totals.totals().suspects_size() == 1);
+  CHECK(totals.totals().suspects(0) == 2);
 }
 
 } // namespace workshatch::test
