--- a/src/daemon/control/control_calls.cc
+++ b/src/daemon/control/control_calls.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The calls that a control replica answers, run on its loop.
+/// Handlers of the calls that a control replica serves. They run on its event loop.
 #include <algorithm>
 #include <utility>
 
@@ -40,7 +40,8 @@
 void ControlReplica::helloReplyReceived(const std::string& address, const v1::HelloReply& reply) {
   post([this, address, reply] {
     if (!ungrouped_ || reply.membership().members_size() != 0) {
-      // A group exists without this replica's state: it waits to be made a member.
+      // Either this replica already belongs to a group or the group exists without it. In the
+      // second case it must not form another group, but waits until it is added as a member.
       hello_ids_.clear();
       return;
     }
@@ -103,7 +104,8 @@
   proposeChange(std::move(command), calls_.accept(std::move(done)));
 }
 
-/// Proposes a change of the configuration and answers once it is in force, or is not going to be.
+/// Proposes a change of the configuration. Answers once the change is in force on all routers, was
+/// rejected, or has waited for `accept_wait_ms`.
 void ControlReplica::proposeChange(v1::Command command, ReplyCallback<v1::ApplyReply> reply) {
   propose(std::move(command), [this, reply = std::move(reply)](const ProposalOutcome& outcome) {
     awaitAccept(outcome, reply);
@@ -209,8 +211,9 @@
   });
 }
 
-/// One step towards the membership asked for: learner, caught up, old member out, voter. The
-/// operator's tool calls again until it is done.
+/// Takes one step towards the requested membership: adds the new replica as a learner, waits until
+/// it has caught up, removes the old member, makes the new one a voter. The operator's tool repeats
+/// the call until the replacement is done.
 v1::ReplaceReplicaReply
 ControlReplica::advanceReplacement(const v1::ReplaceReplicaRequest& request) {
   v1::ReplaceReplicaReply reply;
@@ -222,7 +225,7 @@
   };
   const auto added = find(request.new_id());
   if (added == members->end() && find(request.old_id()) == members->end()) {
-    // A group that only grows would need more replicas for each quorum.
+    // Adding a replica without removing one would enlarge the quorum.
     reply.set_error("no member has the identity given as old_id");
     return reply;
   }
--- a/src/daemon/control/control_loop.cc
+++ b/src/daemon/control/control_loop.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The loop of a control replica: what it takes in, its waits for the disk, and its end.
+/// The event loop of a control replica: queued work, ticks, handling of disk errors, and shutdown.
 #include <algorithm>
 #include <chrono>
 #include <utility>
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Ticks made up for at most, after the process was stopped for a while.
+/// Maximum number of missed ticks that are run after the process was suspended.
 constexpr int64_t kMaxCatchUpTicks = 1000;
-/// How often a stop looks whether leadership is handed over.
+/// Interval at which `stop` checks whether leadership was transferred.
 constexpr std::chrono::milliseconds kHandOverPoll{10};
-/// Time for the loop to end what it does. A write with its sync takes some milliseconds, a snapshot
-/// of 16 MB at 10 MB/s 1.6 s; what takes longer hangs.
+/// Maximum time for the loop to finish its current work. A write with its sync takes a few
+/// milliseconds, and a snapshot of 16 MB at 10 MB/s takes 1.6 s. A longer write is taken to hang.
 constexpr std::chrono::milliseconds kLoopEndLimit{2000};
 
 } // namespace
@@ -28,14 +28,15 @@
     return StopOutcome::Ended;
   }
   handOverLeadership();
-  // A call that the ended loop leaves unanswered would keep the server from ending.
+  // The gRPC server's shutdown waits for open calls, so that a call left unanswered by the ended
+  // loop would block it.
   calls_.end();
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
   wake_.notify_all();
-  // Without a limit, a disk that hangs would keep the process for good.
+  // Without a limit, a disk that hangs would keep the process from ever exiting.
   if (!waitForLoopEnd(kLoopEndLimit)) {
     logging::write(logging::Severity::Error, "replica_given_up",
                    {{"waiting_for", "disk"}, {"waited_ms", kLoopEndLimit.count()}});
@@ -49,8 +50,9 @@
   return StopOutcome::Ended;
 }
 
-/// Waits until another replica may lead, at most an election timeout. Asks nothing of the loop,
-/// which may wait for the disk.
+/// Starts a leadership transfer and waits until this replica is no longer the leader, at most for
+/// an election timeout. Polls an atomic flag instead of waiting for the loop, which may be blocked
+/// by the disk.
 void ControlReplica::handOverLeadership() {
   post([this] {
     node_->transferLeadership();
@@ -97,7 +99,8 @@
 }
 
 void ControlReplica::runOnce(std::deque<std::function<void()>> work) {
-  // Time first: after a freeze, an old leader must not answer before it knows how late it is.
+  // Ticks run first: after a suspension, a former leader must detect that its lease has expired
+  // before it answers any call.
   runTicks();
   for (const auto& item : work) {
     item();
@@ -120,7 +123,8 @@
 }
 
 bool ControlReplica::writeReady(const raft::RaftReady& ready) {
-  // Nothing may be sent or applied before it is durable, so the loop waits for the disk.
+  // Messages must not be sent and entries must not be applied before the write is durable, so the
+  // loop blocks until it succeeds.
   while (true) {
     const int64_t begin_ms = clock_.monotonicMs();
     const auto written = store_.write(ready);
@@ -145,16 +149,17 @@
 
 void ControlReplica::handleDiskFailure(const Error& error) {
   if (!std::exchange(disk_failing_, true)) {
-    // Callers turn to another replica; this one would leave them to their own deadlines.
+    // Refused callers retry at another replica. Otherwise they would wait until their deadlines.
     calls_.refuseAll();
     logging::write(logging::Severity::Error, "disk_failed",
                    {{"error", error.message},
-                    {"consequence", "this replica takes no part until the disk can be written"}});
+                    {"consequence", "this replica is inactive until disk writes succeed"}});
   }
 }
 
-/// Waits a heartbeat and drops what comes meanwhile: its calls are refused, messages may be lost.
-/// @return false when the replica is to stop.
+/// Waits for one heartbeat interval and discards work that arrives meanwhile: its calls have been
+/// refused, and Raft tolerates lost messages.
+/// @return false if the replica has to stop.
 bool ControlReplica::waitForDisk() {
   std::deque<std::function<void()>> dropped;
   std::unique_lock lock(mutex_);
@@ -164,7 +169,8 @@
   return !stopping_;
 }
 
-/// Tells of a write that took so long that other replicas may have stood for election meanwhile.
+/// Logs a write that took at least an election timeout, during which other replicas may have
+/// started an election.
 void ControlReplica::logSlowWrite(int64_t took_ms) const {
   if (took_ms >= options_.heartbeat_ms * options_.election_ticks) {
     logging::write(logging::Severity::Warning, "disk_slow",
--- a/src/daemon/control/control_replica.cc
+++ b/src/daemon/control/control_replica.cc
@@ -24,7 +24,8 @@
       transport_(transport) {}
 
 ControlReplica::~ControlReplica() {
-  WORKSHATCH_CHECK(stop() == StopOutcome::Ended, "a replica is destroyed while its disk hangs");
+  WORKSHATCH_CHECK(stop() == StopOutcome::Ended,
+                   "a replica must not be destroyed while a disk write hangs");
 }
 
 Result<std::monostate> ControlReplica::start() {
@@ -36,7 +37,7 @@
   id_ = replica.id;
   const v1::RaftSnapshot snapshot = replica.recovery.log.snapshot();
   if (snapshot.index() != 0 && !state_.restore(snapshot.state())) {
-    return Error{"the snapshot in the data folder is not a state of this program"};
+    return Error{"cannot restore the state from the snapshot in the data folder"};
   }
   applied_ = snapshot.index();
   ungrouped_ = replica.recovery.log.latestMembership().members().empty();
@@ -52,16 +53,17 @@
 void ControlReplica::processReady() {
   while (true) {
     raft::RaftReady ready = node_->takeReady();
-    const bool nothing = !ready.needsSync() && ready.messages.empty() && ready.committed.empty() &&
-                         ready.reads.empty();
-    if (nothing) {
+    const bool idle = !ready.needsSync() && ready.messages.empty() && ready.committed.empty() &&
+                      ready.reads.empty();
+    if (idle) {
       break;
     }
     if (ready.needsSync() && !writeReady(ready)) {
       return;
     }
     if (ready.snapshot) {
-      WORKSHATCH_CHECK(state_.restore(ready.snapshot->state()), "snapshot from the leader");
+      WORKSHATCH_CHECK(state_.restore(ready.snapshot->state()),
+                       "cannot restore the snapshot received from the leader");
       applied_ = ready.snapshot->index();
       ungrouped_ = false;
     }
@@ -89,7 +91,7 @@
     return;
   }
   v1::Command command;
-  WORKSHATCH_CHECK(command.ParseFromString(entry.command()), "committed command is unreadable");
+  WORKSHATCH_CHECK(command.ParseFromString(entry.command()), "cannot parse a committed command");
   control::CommandResult result = state_.apply(command);
   const auto found = proposals_.find(command.proposal());
   if (found != proposals_.end()) {
--- a/src/daemon/control/control_role.cc
+++ b/src/daemon/control/control_role.cc
@@ -40,7 +40,8 @@
       transport_(settings.control().rpc_address(), settings.control_key(), AddressBook(settings)),
       replica_(optionsOf(settings), store_, clock, random_, transport_) {}
 
-// Answers to hellos are given to the replica, which is destroyed before the transport.
+// Ends the transport first: replies to hellos are passed to the replica, which is destroyed before
+// the transport.
 ControlRole::~ControlRole() { transport_.end(); }
 
 Result<std::monostate> ControlRole::start() {
--- a/src/daemon/control/control_role.h
+++ b/src/daemon/control/control_role.h
@@ -1,5 +1,6 @@
 /// @file
-/// The control role of a daemon: its parts and the forming of the replication group.
+/// The control role of a daemon: owns a control replica, its storage, transport and gRPC services,
+/// and contacts the other replicas until a group is formed.
 #pragma once
 
 #include <memory>
@@ -16,19 +17,21 @@
 
 namespace workshatch::daemon {
 
+/// Runs a control replica with its services.
 class ControlRole {
 public:
+  /// @param settings must outlive the role, as must `workers` and `clock`
   ControlRole(const v1::Settings& settings, WorkerPool& workers, const Clock& clock);
   ~ControlRole();
   ControlRole(const ControlRole&) = delete;
   ControlRole& operator=(const ControlRole&) = delete;
 
   Result<std::monostate> start();
-  /// Hands leadership over and stops. After DiskHangs the role must not be destroyed.
+  /// Transfers leadership and stops. The role must not be destroyed after DiskHangs was returned.
   StopOutcome stop();
 
 private:
-  /// Asks the other replicas who they are, until this one belongs to a group.
+  /// Sends hellos to the other replicas until this one belongs to a group.
   boost::asio::awaitable<void> helloLoop();
 
   const v1::Settings& settings_;
--- a/src/daemon/control/control_services.cc
+++ b/src/daemon/control/control_services.cc
@@ -19,13 +19,13 @@
 
 constexpr int kMaxMessageBytes = 256 * 1024 * 1024;
 
-/// Refuses calls that carry another key than asked for.
+/// Rejects calls that do not carry the expected key.
 class CallAuthenticator {
 public:
   CallAuthenticator(std::string key, std::atomic<uint64_t>& refused)
       : key_(std::move(key)), refused_(refused) {}
 
-  /// @return a finished reactor when the call is refused, else null.
+  /// @return a finished reactor if the call was rejected, otherwise null.
   Reactor* rejectUnauthenticated(Context* context) const {
     if (rpc::hasKey(*context, key_)) {
       return nullptr;
@@ -43,12 +43,13 @@
   std::atomic<uint64_t>& refused_;
 };
 
-/// What callers of a replica that can't answer are told; they turn to another one.
+/// Status for calls to a replica that is stopping or cannot write to its disk. Callers retry at
+/// another replica.
 grpc::Status unavailableStatus() {
   return {grpc::StatusCode::UNAVAILABLE, "this replica ends or cannot write; ask another one"};
 }
 
-/// A callback that stores the reply and ends the call.
+/// @return a callback that stores the reply in `target` and finishes the call.
 template <typename Reply> CallCallback<Reply> finishWith(Reactor* reactor, Reply* target) {
   return [reactor, target](CallOutcome<Reply> outcome) {
     if (Reply* reply = std::get_if<Reply>(&outcome)) {
@@ -60,7 +61,7 @@
   };
 }
 
-/// As the ledger's callers are told it.
+/// Converts the outcome of a proposal to the reply of a ledger call.
 v1::LedgerReply ledgerReply(const ProposalOutcome& outcome) {
   if (const auto* other = std::get_if<NotLeader>(&outcome)) {
     v1::LedgerReply reply;
--- a/src/daemon/control/control_services.h
+++ b/src/daemon/control/control_services.h
@@ -1,5 +1,5 @@
 /// @file
-/// The gRPC services of a control replica: for routers, operators and other replicas.
+/// The gRPC services of a control replica for routers, operators and other replicas.
 #pragma once
 
 #include <atomic>
@@ -13,13 +13,16 @@
 
 namespace workshatch::daemon {
 
+/// Shared secrets that callers have to present.
 struct ServiceKeys {
-  /// For routers and control replicas.
+  /// Expected from routers and control replicas.
   std::string control_key;
+  /// Expected from operators.
   std::string operator_token;
 };
 
-/// Serves until it is destroyed. Calls with a wrong key are refused, counted and logged.
+/// Serves calls from `listen` until destruction. Calls with a wrong key are refused, counted and
+/// logged.
 class ControlServices {
 public:
   ControlServices(ControlReplica& replica, ServiceKeys keys);
@@ -28,6 +31,7 @@
   ControlServices& operator=(const ControlServices&) = delete;
 
   Result<std::monostate> listen(const std::string& address);
+  /// @return the number of calls refused because of a wrong key.
   uint64_t refusedCalls() const;
 
 private:
--- a/tests/unit/daemon/control/control_fixture.h
+++ b/tests/unit/daemon/control/control_fixture.h
@@ -1,5 +1,6 @@
 /// @file
-/// A control replica behind its gRPC services on loopback, with a disk in memory.
+/// Fixture for control replica tests: a replica with an in-memory disk and its gRPC services on
+/// loopback, and an operator client.
 #pragma once
 
 #include <atomic>
@@ -24,18 +25,18 @@
 
 namespace workshatch::test {
 
-/// Below the range that the system gives to outgoing connections.
+/// The port is below the range of ephemeral ports.
 constexpr const char* kControlAddress = "127.0.9.10:19170";
 constexpr const char* kControlKey = "control-key";
 constexpr const char* kOperatorToken = "operator-token";
 
-/// Loses everything: for a group of one replica.
+/// Drops all messages; sufficient for a group of one replica.
 class NoTransport : public ReplicaTransport {
 public:
   void send(const std::string&, v1::RaftMessage) override {}
 };
 
-/// A control replica that forms a group of its own, and its services.
+/// A control replica that forms a group of one, with its services.
 class ControlMachine {
 public:
   explicit ControlMachine(uint64_t seed = 1) : disk(seed), random_(seed) {
@@ -44,7 +45,7 @@
     options.own_address = kControlAddress;
     options.heartbeat_ms = 10;
     options.election_ticks = 5;
-    // Some stops come while a snapshot is written.
+    // Small, so that some stops occur while a snapshot is written.
     options.snapshot_entries = 8;
     replica = std::make_unique<daemon::ControlReplica>(options, disk, clock_, random_, transport_);
     services = std::make_unique<daemon::ControlServices>(
@@ -57,7 +58,7 @@
     REQUIRE_FALSE(isError(services->listen(kControlAddress)));
   }
 
-  /// Stops in the order of the daemon's control role.
+  /// Stops replica and services in the same order as ControlRole.
   daemon::StopOutcome stop() {
     const daemon::StopOutcome outcome = replica->stop();
     services.reset();
@@ -74,20 +75,20 @@
   NoTransport transport_;
 };
 
-/// An operator with a connection of its own.
+/// An operator client with its own connection.
 class TestOperator {
 public:
   TestOperator() : stub_(v1::Operator::NewStub(rpc::makeChannel(kControlAddress))) {}
 
-  /// @param limit after which the operator gives the call up
+  /// @param limit deadline of the call
   grpc::Status status(std::chrono::milliseconds limit, v1::StatusReply& reply) {
     grpc::ClientContext context;
     rpc::prepare(context, kOperatorToken, limit.count());
     return stub_->Status(&context, v1::StatusRequest(), &reply);
   }
 
-  /// Asks for a change of the configuration, which the replica has to write.
-  /// @param limit after which the operator gives the call up
+  /// Requests a configuration change, which the replica has to write to its disk.
+  /// @param limit deadline of the call
   grpc::Status apply(std::chrono::milliseconds limit) {
     grpc::ClientContext context;
     rpc::prepare(context, kOperatorToken, limit.count());
@@ -97,9 +98,9 @@
     return stub_->Apply(&context, request, &reply);
   }
 
-  /// Asks for a replica that is not there in the place of `old_id`: a change of the membership that
-  /// stays under way.
-  /// @param limit after which the operator gives the call up
+  /// Requests to replace `old_id` by a replica that does not exist, so that the membership change
+  /// stays in progress.
+  /// @param limit deadline of the call
   grpc::Status replaceReplica(std::chrono::milliseconds limit, uint64_t old_id) {
     grpc::ClientContext context;
     rpc::prepare(context, kOperatorToken, limit.count());
--- a/tests/unit/daemon/control/control_role_test.cc
+++ b/tests/unit/daemon/control/control_role_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The control role of a daemon that belongs to no group, with peers that do not answer.
+/// Tests of a control role that belongs to no group and whose peers do not answer.
 #include <filesystem>
 #include <memory>
 #include <string>
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// Below the range that the system gives to outgoing connections.
+/// The ports are below the range of ephemeral ports.
 constexpr const char* kOwnAddress = "127.0.9.13:19173";
 constexpr const char* kSilentAddress = "127.0.9.14:19174";
 constexpr const char* kAbsentAddress = "127.0.9.15:19175";
 
-/// Takes connections and never reads from them.
+/// Lets clients connect and never reads from the connections.
 class SilentPeer {
 public:
   SilentPeer() : acceptor_(context_, *http::parseEndpoint(kSilentAddress)) {}
@@ -32,8 +32,8 @@
   boost::asio::ip::tcp::acceptor acceptor_;
 };
 
-/// A control role on a disk folder of its own. The thread that stopped it may still destroy it
-/// while the next one starts.
+/// A control role with its own data folder. The thread that stopped it may still destroy it while
+/// the next one starts.
 class Machine {
 public:
   explicit Machine(int seed)
@@ -79,12 +79,12 @@
 
 } // namespace
 
-TEST_CASE("A control role without a group ends, told once or twice, while a peer is silent") {
+TEST_CASE("A control role without a group stops once or twice while a peer does not answer") {
   const SilentPeer silent;
   const int stops = stopCount(10);
   for (int seed = 1; seed <= stops; ++seed) {
     const auto machine = std::make_shared<Machine>(seed);
-    // Some stops come before the first hello, some while one is under way.
+    // Some stops occur before the first hello is sent, some while one is in progress.
     constexpr uint64_t kMaxRunTimeMs = 300;
     std::this_thread::sleep_for(std::chrono::milliseconds(SeededRandom(seed).below(kMaxRunTimeMs)));
     REQUIRE_MESSAGE(endsInTime([machine] {
--- a/tests/unit/daemon/control/control_stop_test.cc
+++ b/tests/unit/daemon/control/control_stop_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Planned stops of a control replica and its services.
+/// Tests that a control replica and its services stop in time and answer all calls, also while the
+/// disk fails or hangs.
 #include <future>
 #include <thread>
 #include <vector>
@@ -13,8 +14,8 @@
 
 namespace {
 
-/// Operators that call again and again, on connections of their own, until they are told to stop:
-/// for the status, for a change, for another member.
+/// Operators that repeat status, configuration and membership calls on their own connections until
+/// `stop` is called.
 class RepeatingOperators {
 public:
   explicit RepeatingOperators(uint64_t replica_id) : replica_id_(replica_id) {}
@@ -35,7 +36,7 @@
     }
     threads_.clear();
   }
-  /// Calls that nobody answered before the caller's own time was over.
+  /// @return the number of calls that were not answered before their deadline.
   int endedByDeadline() const { return ended_by_deadline_; }
 
 private:
@@ -69,15 +70,12 @@
 
 } // namespace
 
-// A daemon that was told to stop did not end: its log ended with "drain_finished" and
-// "leadership_lost", "stopped" never came, and who had started it waited for a minute and gave up.
-// The replica's loop ends before its services do. A router or an operator that called in between
-// left its call in the inbox of a loop that was gone, and the gRPC server waits without a limit for
-// calls that it has handed on. The lines that showed it: "replica_ended" with one call in the inbox
-// (in a second run with none: the call came after the loop's end), "services_ending" with one open
-// call, then nothing; the main thread stood in grpc::Server::UnrefAndWaitLocked, called by the end
-// of ControlServices.
-TEST_CASE("A call that comes after a control replica has ended is answered") {
+// Guards against a daemon that never exits after it was told to stop: its log ended with
+// "drain_finished" and "leadership_lost", without "stopped". The replica's loop ends before its
+// gRPC services do. A call that arrived in between, or shortly before the loop ended, was never
+// answered, and the destructor of ControlServices waited without a limit for it, in
+// grpc::Server::UnrefAndWaitLocked.
+TEST_CASE("A call to a stopped control replica is answered") {
   const auto machine = std::make_shared<ControlMachine>();
   machine->start();
   TestOperator caller;
@@ -88,7 +86,7 @@
   v1::StatusReply reply;
   const grpc::Status status = caller.status(kCallersLimit, reply);
 
-  // The caller turns to another replica at once, not when its own time is over.
+  // The caller can retry at another replica immediately, not only after its deadline.
   CHECK((status.error_code() == grpc::StatusCode::UNAVAILABLE || reply.not_leader()));
   CHECK(endsInTime([machine] { machine->services.reset(); }));
 }
@@ -102,8 +100,8 @@
     SeededRandom random(seed);
     RepeatingOperators operators(seed);
     operators.start();
-    // Some stops come in the first election, some while the replica leads, and then changes, a
-    // change of the membership or a snapshot are under way.
+    // Some stops occur during the first election, others while the replica is the leader and
+    // changes, a membership change or a snapshot are in progress.
     constexpr uint64_t kMaxRunTimeMs = 120;
     std::this_thread::sleep_for(std::chrono::milliseconds(random.below(kMaxRunTimeMs)));
 
@@ -117,12 +115,11 @@
   CHECK(late == 0);
 }
 
-// A daemon whose disk was full, or did not answer, did not end when it was told to: "disk_failed"
-// and "drain_finished" stood in its log, "stopped" never came (none of four stops on the real
-// programs with a data folder that refused writes). The stop asked the replica's loop whether
-// leadership was handed over and waited for the answer without a limit; the loop waited for the
-// disk and would only have left that wait for a flag that the stop sets later.
-TEST_CASE("A control replica ends while its disk refuses writes") {
+// Guards against a daemon that never exits if its disk is full or hangs: its log had "disk_failed"
+// and "drain_finished", without "stopped", in each of four stops of the real programs with a data
+// folder that refused writes. The stop waited without a limit for the loop to report the leadership
+// transfer, while the loop waited for the disk until a flag that the stop sets only later.
+TEST_CASE("A control replica ends while disk writes fail") {
   const auto machine = std::make_shared<ControlMachine>();
   machine->start();
   TestOperator first;
@@ -133,13 +130,14 @@
   REQUIRE(waitUntil([&] { return machine->replica->callCounts().accepted > taken_before; }));
 
   REQUIRE(endsInTime([machine] { machine->stop(); }));
-  // The change is neither stored nor lost: the operator sends it again to another replica.
+  // The change is not acknowledged, so that the operator retries it at another replica.
   CHECK(change.get().error_code() == grpc::StatusCode::UNAVAILABLE);
 }
 
-// Operators that pressed a leader whose disk was full waited until their own deadline, 144 calls of
-// 3 s each in one run of planned-stop-pressed: the loop waits for the disk and answers nobody.
-TEST_CASE("A control replica whose disk refuses writes turns callers away until it works again") {
+// Guards against calls that wait until their deadline at a leader whose disk is full (144 calls of
+// 3 s each in one run of planned-stop-pressed), since the loop waits for the disk and answers no
+// call.
+TEST_CASE("A control replica refuses calls while disk writes fail and serves them afterwards") {
   const auto machine = std::make_shared<ControlMachine>();
   machine->start();
   TestOperator caller;
@@ -154,7 +152,7 @@
   machine->stop();
 }
 
-TEST_CASE("A control replica whose disk hangs is given up") {
+TEST_CASE("The stop of a control replica whose disk hangs returns DiskHangs in time") {
   const auto machine = std::make_shared<ControlMachine>();
   machine->start();
   TestOperator first;
