--- a/src/daemon/group/group_membership.cc
+++ b/src/daemon/group/group_membership.cc
@@ -1,5 +1,5 @@
 /// @file
-/// How a replica finds or forms its group, and how the leader changes the group's members.
+/// How a replica finds, forms or joins its group, and how the leader changes the membership.
 #include <algorithm>
 #include <utility>
 
@@ -10,11 +10,12 @@
 
 namespace {
 
-constexpr int64_t kSeekPeriodMs = 300;
+constexpr int64_t kFindGroupPeriodMs = 300;
 constexpr int64_t kMembershipPeriodMs = 200;
-/// A replica that hears no leader for so long asks whether it is still a member.
+/// After this time without a leader, a voter sends join requests, since it may have been removed
+/// from the group.
 constexpr int64_t kLeaderlessLimitMs = 2500;
-/// A learner this close to the commit index has caught up.
+/// A learner that lags behind the commit index by at most this many entries counts as caught up.
 constexpr uint64_t kCaughtUpEntries = 4;
 /// Index and term of the snapshot that every replica of a new group starts from.
 constexpr uint64_t kFirstIndex = 1;
@@ -30,10 +31,10 @@
   const int64_t now = clock_.monotonicMs();
   const bool ungrouped = node_->membership().members_size() == 0;
   const bool leaderless = now - leader_last_known_ms_ > kLeaderlessLimitMs;
-  if (now < seek_due_ms_ || (votes() && !leaderless)) {
+  if (now < find_group_due_ms_ || (votes() && !leaderless)) {
     return;
   }
-  seek_due_ms_ = now + kSeekPeriodMs;
+  find_group_due_ms_ = now + kFindGroupPeriodMs;
   if (ungrouped && !group_exists_ && options_.first_start && isSeed(options_.own_address)) {
     sendHellos();
     return;
@@ -86,7 +87,8 @@
     return;
   }
   if (hello.grouped()) {
-    // A group exists without this replica's state: it waits to be made a member.
+    // A group exists without this replica, which must not form another one. It waits until it is
+    // added as a member.
     group_exists_ = true;
     founders_.clear();
     return;
@@ -160,7 +162,10 @@
   join_requests_.clear();
 }
 
-/// One step for a replica that asks to join. @return whether the membership is being changed.
+/// Takes the next step for a replica that requested to join: adds it as a learner, waits until it
+/// has caught up, then removes a former identity at its address, makes it a voter or makes room for
+/// it by removing a silent voter.
+/// @return whether a membership change was proposed.
 bool GroupReplica::advanceJoin(const v1::JoinRequest& join) {
   v1::RaftMembership membership = node_->membership();
   auto* members = membership.mutable_members();
@@ -191,7 +196,7 @@
     return false;
   }
   if (former != members->end()) {
-    // The replica at this address has lost its disk and with it its former identity.
+    // The replica at this address lost its disk and with it its former identity.
     members->erase(former);
     return change("former_identity_removed");
   }
@@ -202,28 +207,30 @@
   return replaceSilentVoter(std::move(membership));
 }
 
-/// Takes out the voter that has been silent longest, if one is gone; a learner then has its place.
+/// Removes the voter that has been silent for the longest time, if any exceeds the limit. A learner
+/// can then become a voter in its place.
+/// @return whether a membership change was proposed.
 bool GroupReplica::replaceSilentVoter(v1::RaftMembership membership) {
   auto* members = membership.mutable_members();
-  auto gone = members->end();
+  auto silent = members->end();
   for (auto member = members->begin(); member != members->end(); ++member) {
     const auto silent_ms =
         static_cast<int64_t>(node_->ticksSinceReply(member->id())) * options_.tick_ms;
     const bool candidate =
         !member->learner() && member->id() != id_ && silent_ms >= options_.silent_voter_limit_ms;
-    if (candidate && (gone == members->end() ||
-                      node_->ticksSinceReply(member->id()) > node_->ticksSinceReply(gone->id()))) {
-      gone = member;
+    if (candidate && (silent == members->end() || node_->ticksSinceReply(member->id()) >
+                                                      node_->ticksSinceReply(silent->id()))) {
+      silent = member;
     }
   }
-  if (gone == members->end()) {
+  if (silent == members->end()) {
     return false;
   }
   ++stats_.membership_changes;
   line_log::write(
       "membership_change",
-      {{"step", "silent_voter_removed"}, {"id", gone->id()}, {"address", gone->address()}});
-  members->erase(gone);
+      {{"step", "silent_voter_removed"}, {"id", silent->id()}, {"address", silent->address()}});
+  members->erase(silent);
   return node_->proposeMembership(membership).has_value();
 }
 
--- a/src/daemon/group/group_replica.cc
+++ b/src/daemon/group/group_replica.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Ticks made up for at most, after the process was stopped for a while.
+/// Maximum number of missed ticks that are run after the process was suspended.
 constexpr int64_t kMaxCatchUpTicks = 100;
 
 } // namespace
@@ -32,7 +32,7 @@
   id_ = replica.id;
   const v1::RaftSnapshot snapshot = replica.recovery.log.snapshot();
   if (snapshot.index() != 0 && !state_.restore(snapshot.state())) {
-    return Error{"the snapshot in the data folder is not a state of this program"};
+    return Error{"cannot restore the state from the snapshot in the data folder"};
   }
   applied_ = snapshot.index();
   group_exists_ = !replica.recovery.log.latestMembership().members().empty();
@@ -51,7 +51,8 @@
   raft::RaftOptions raft_options;
   raft_options.election_ticks = options_.election_ticks;
   raft_options.first_election_ticks = options_.first_election_ticks;
-  // Leases of relays are confirmed by reads, not by the leader's lease.
+  // Votes need not be withheld after a restart: leases of relays are confirmed by a majority read,
+  // not by the leader lease.
   raft_options.withhold_votes_after_restart = false;
   raft_options.trailing_entries = options_.trailing_entries;
   node_ = std::make_unique<raft::RaftNode>(id_, raft_options, random_, std::move(recovery));
@@ -98,9 +99,9 @@
   catchUpTicks();
   while (true) {
     unwritten_ = node_->takeReady();
-    const bool nothing = !unwritten_->needsSync() && unwritten_->messages.empty() &&
-                         unwritten_->committed.empty() && unwritten_->reads.empty();
-    if (nothing) {
+    const bool idle = !unwritten_->needsSync() && unwritten_->messages.empty() &&
+                      unwritten_->committed.empty() && unwritten_->reads.empty();
+    if (idle) {
       unwritten_.reset();
       break;
     }
@@ -114,7 +115,9 @@
   advanceMembership();
 }
 
-/// Makes `unwritten_` durable and does what it asks for. Nothing may be sent or applied before.
+/// Makes `unwritten_` durable, then sends its messages and applies its entries. The order is
+/// required for correctness.
+/// @return false if the disk write failed.
 bool GroupReplica::writeReady() {
   if (unwritten_->needsSync()) {
     const int64_t begin_ms = clock_.monotonicMs();
@@ -123,7 +126,7 @@
     if (isError(written)) {
       ++stats_.disk_failures;
       line_log::write("disk_failed", {{"error", errorOf(written).message}});
-      // Who waits for a change or a read asks another replica.
+      // Callers that wait for a change or a read retry at another replica.
       failPending();
       return false;
     }
@@ -136,7 +139,8 @@
   raft::RaftReady ready = std::move(*unwritten_);
   unwritten_.reset();
   if (ready.snapshot) {
-    WORKSHATCH_CHECK(state_.restore(ready.snapshot->state()), "snapshot from the leader");
+    WORKSHATCH_CHECK(state_.restore(ready.snapshot->state()),
+                     "cannot restore the snapshot received from the leader");
     applied_ = ready.snapshot->index();
     group_exists_ = true;
     if (on_change_) {
@@ -205,8 +209,8 @@
                    {"term", node_->term()}});
 }
 
-/// Answers the command that was proposed for the place of an applied entry. A configuration that
-/// was applied is in force, or a higher version is.
+/// Answers the caller whose command was proposed at the index of an applied entry. After a
+/// configuration command was applied, its version or a higher one is in force.
 void GroupReplica::answerProposal(const v1::RaftEntry& applied) {
   const auto found =
       std::find_if(proposals_.begin(), proposals_.end(),
@@ -216,7 +220,7 @@
   }
   const Proposal proposal = std::move(*found);
   proposals_.erase(found);
-  // An entry of another term is another leader's: this command is not in the log.
+  // An entry with another term was written by another leader and has replaced this command.
   const bool own = proposal.term == applied.term();
   proposal.done(own ? StoreOutcome::Stored : StoreOutcome::NotLeader);
 }
@@ -271,7 +275,8 @@
   if (unwritten_ || !node_) {
     return false;
   }
-  // Time first: after a freeze, an old leader must not answer before it knows how late it is.
+  // Ticks run first: after a suspension, a former leader must detect that its lease has expired
+  // before it answers any call.
   catchUpTicks();
   return node_->committedInTerm() && node_->hasLeaderLease();
 }
@@ -308,8 +313,8 @@
 void GroupReplica::reportLeader() {
   const bool usable = !node_->isLeader() || node_->committedInTerm();
   const uint64_t leader = usable ? node_->leader() : 0;
-  const bool news = std::exchange(reported_leader_, leader) != leader && leader != 0;
-  if (news && on_leader_known_) {
+  const bool changed = std::exchange(reported_leader_, leader) != leader && leader != 0;
+  if (changed && on_leader_known_) {
     on_leader_known_();
   }
 }
--- a/src/daemon/group/group_replica.h
+++ b/src/daemon/group/group_replica.h
@@ -1,5 +1,5 @@
 /// @file
-/// A replica of the group that holds the configuration, the evacuations and the quarantine: runs
+/// A replica of the group that stores the configuration, evacuations, quarantine and rollouts. Runs
 /// the replicated log on an event loop.
 #pragma once
 
@@ -26,41 +26,48 @@
 namespace workshatch::daemon {
 
 struct GroupOptions {
-  /// Where other replicas reach this one.
+  /// Address at which other replicas reach this one.
   std::string own_address;
-  /// Addresses of some replicas; on the first start of all, of those that form the group.
+  /// Addresses of some replicas. On the first start of the system, exactly the replicas that form
+  /// the group.
   std::vector<std::string> seeds;
-  /// The whole system starts for the first time, with empty disks.
+  /// Whether the whole system starts for the first time, with empty disks.
   bool first_start = false;
-  /// Voters that the group grows to without taking one out.
+  /// Number of voters up to which joining replicas become voters without replacing one.
   size_t voters = 3;
   int64_t tick_ms = 30;
   uint32_t election_ticks = 10;
-  /// Until a leader was heard: four ticks are some 40 round trips between zones of a region, so
-  /// that two replicas seldom stand for election at the same time.
+  /// Upper bound of the first election timeout after a start, while no leader is known. Four ticks
+  /// are about 40 round trips between zones of a region, so that two replicas seldom start an
+  /// election at the same time.
   uint32_t first_election_ticks = 4;
-  /// A voter that is silent for so long may be replaced by a replica at a new address.
+  /// Time without a reply after which a voter may be replaced by a replica at a new address.
   int64_t silent_voter_limit_ms = 3000;
-  /// The log is compacted after so many entries, or so many bytes of commands.
+  /// The log is compacted after this many entries or this many bytes of commands, whichever comes
+  /// first.
   uint64_t snapshot_entries = 48;
   uint64_t snapshot_bytes = uint64_t{512} * 1024;
+  /// Number of entries before the snapshot that stay in the log for followers that lag behind.
   uint64_t trailing_entries = 8;
 };
 
+/// Result of a proposed change.
 enum class StoreOutcome {
-  /// Durable at a majority. Of a configuration: the version held is at least the one sent.
+  /// The change is durable at a majority. For a configuration: the stored version is at least the
+  /// proposed one.
   Stored,
-  /// This replica does not lead (any more); whether the change will be in force is not known.
+  /// This replica is not the leader, or could not confirm that the change was committed. The change
+  /// may still be committed later.
   NotLeader,
 };
 
-/// One replica. Lives on its event loop; not safe for concurrent use. While the disk refuses
-/// writes, the replica takes no part in anything. Each call gets one outcome, Unavailable from
-/// `end` on.
+/// One replica of the group. Runs on its event loop; not safe for concurrent use. While disk writes
+/// fail, the replica ignores Raft messages and answers changes and reads as if it were not the
+/// leader. Each call gets exactly one outcome, which is Unavailable after `end` was called.
 class GroupReplica {
 public:
   using StoreCallback = CallCallback<StoreOutcome>;
-  /// Null: this replica can't confirm that it knows the newest.
+  /// Receives the configuration, or null if a majority did not confirm this replica as the leader.
   using ReadCallback = CallCallback<const v1::StoredConfiguration*>;
   using HelloSender = std::function<void(const std::string& address, v1::ReplicaHello hello)>;
   using JoinSender = std::function<void(const std::string& address, v1::JoinRequest request)>;
@@ -70,67 +77,74 @@
   GroupReplica(const GroupReplica&) = delete;
   GroupReplica& operator=(const GroupReplica&) = delete;
 
-  /// Set before `start`.
+  /// Both senders must be set before `start`.
   void setHelloSender(HelloSender sender) { send_hello_ = std::move(sender); }
   void setJoinSender(JoinSender sender) { send_join_ = std::move(sender); }
-  /// Runs after each change of the replicated state.
+  /// Sets a handler that runs after each change of the replicated state.
   void onChange(std::function<void()> handler) { on_change_ = std::move(handler); }
-  /// Runs when this replica learns who leads, itself included once it can confirm reads.
+  /// Sets a handler that runs when a new leader becomes known. For this replica as the leader, it
+  /// runs once reads can be confirmed.
   void onLeaderKnown(std::function<void()> handler) { on_leader_known_ = std::move(handler); }
 
-  /// Reads what is stored and begins to tick.
+  /// Loads the stored state and starts the tick timer. Fails if the stored state cannot be read.
   Result<std::monostate> start();
-  /// Hands leadership over if this replica leads.
+  /// Starts a transfer of leadership if this replica is the leader.
   void handOverLeadership();
-  /// Refuses the calls that wait and all that come from now on.
+  /// Refuses all open calls and all later ones.
   void end();
 
+  /// Handle messages from other replicas.
   void deliver(const v1::RaftBatch& batch);
   void helloReceived(const v1::ReplicaHello& hello);
   void joinReceived(const v1::JoinRequest& request);
 
-  /// Proposes a configuration; decides when it is applied whether it is above the held one.
+  /// Proposes a configuration. It takes effect only if, when it is applied, its version is above
+  /// the stored one.
   void store(v1::StoredConfiguration configuration, StoreCallback done);
-  /// Proposes an order about a zone or a request in quarantine; also one that the state already
-  /// obeys, since another order about the same thing may be on its way to a majority.
+  /// Proposes an evacuation, quarantine or rollout command. An order that matches the current state
+  /// is proposed too, since a conflicting order may be uncommitted.
   void order(const v1::GroupCommand& command, StoreCallback done);
-  /// Reads the configuration after a majority has confirmed this leader.
+  /// Reads the configuration after a majority has confirmed that this replica is the leader.
   void read(ReadCallback done);
 
-  /// @return whether a leader is known, this one included.
+  /// @return whether a leader is known, which may be this replica.
   bool knowsLeader() const { return node_->leader() != 0; }
-  /// @return whether a majority answered this leader lately. Another replica may have become leader
-  /// since: what has to be certain is read with `read`.
+  /// @return whether this replica is the leader and a majority answered it within the last election
+  /// timeout. Another replica may have been elected since; use `read` where certainty is required.
   bool leads();
-  /// @return whether this replica takes itself for the leader.
+  /// @return whether this replica considers itself the leader. Unlike `leads`, does not check that
+  /// a majority answered recently. False while disk writes fail.
   bool isLeader() const { return !unwritten_ && node_->isLeader(); }
   const std::string& ownAddress() const { return options_.own_address; }
-  /// The leader's address as far as known; empty: not known or this one.
+  /// @return the leader's address; empty if the leader is unknown or is this replica.
   std::string leaderAddress() const;
   std::vector<std::string> memberAddresses() const;
   const v1::StoredConfiguration& stored() const { return state_.configuration(); }
   const v1::EvacuationList& evacuations() const { return state_.evacuations(); }
   const v1::QuarantineList& quarantine() const { return state_.quarantine(); }
   const v1::RolloutList& rollouts() const { return state_.rollouts(); }
-  /// @return the last rollout of the service; null: it never had one.
+  /// @return the last rollout of the service; null if it never had one.
   const v1::Rollout* findRollout(const std::string& service) const {
     return relay::findRollout(state_.rollouts(), service);
   }
   uint64_t id() const { return id_; }
-  /// @return whether this replica counts for majorities, as far as it knows.
+  /// @return whether this replica is a voter in the latest membership that it knows.
   bool votes() const { return raft::isVoterOf(node_->membership(), id_); }
   uint64_t term() const { return node_->term(); }
   size_t voterCount() const;
   const GroupStats& stats() const { return stats_; }
   CallCounts callCounts() const { return calls_.counts(); }
-  /// Steady time since this replica won its present leadership.
+  /// @return time since this replica became the leader, in ms of the monotonic clock; zero if it is
+  /// not the leader.
   int64_t leadingForMs() const;
-  /// Steady time since this replica last knew a leader; zero: it does.
+  /// @return time since this replica last knew a leader, in ms of the monotonic clock; zero if it
+  /// knows one.
   int64_t leaderlessForMs() const;
   void setSeeds(std::vector<std::string> seeds) { options_.seeds = std::move(seeds); }
 
 private:
-  /// A command at its place in the log; another leader may put another entry there.
+  /// A proposed command at its log index. Another leader may overwrite the index with another
+  /// entry.
   struct Proposal {
     uint64_t index = 0;
     uint64_t term = 0;
@@ -139,7 +153,7 @@
 
   void scheduleTick();
   void catchUpTicks();
-  /// Processes soon, once for all that comes until then.
+  /// Schedules one run of `process` for all events that arrive before it runs.
   void scheduleProcess();
   void process();
   bool writeReady();
@@ -181,30 +195,33 @@
   GroupStats stats_;
   int64_t next_tick_ms_ = 0;
   bool process_scheduled_ = false;
-  /// What has to be written before anything else; set while the disk refuses it.
+  /// Raft output that is not durable yet. Remains set while disk writes fail.
   std::optional<raft::RaftReady> unwritten_;
+  /// Index of the last applied log entry.
   uint64_t applied_ = 0;
   uint64_t bytes_since_snapshot_ = 0;
   bool was_leader_ = false;
-  /// The leader that `on_leader_known_` was last told of; zero: none.
+  /// The leader last reported to `on_leader_known_`; zero if none.
   uint64_t reported_leader_ = 0;
   uint64_t leader_term_ = 0;
   int64_t leading_since_ms_ = 0;
   int64_t leader_last_known_ms_ = 0;
-  int64_t seek_due_ms_ = 0;
+  int64_t find_group_due_ms_ = 0;
   int64_t membership_due_ms_ = 0;
   uint64_t next_context_ = 1;
   std::vector<Proposal> proposals_;
+  /// Callbacks of unconfirmed reads, by read context.
   std::map<uint64_t, ReplyCallback<const v1::StoredConfiguration*>> reads_;
   OpenCalls calls_;
-  /// Identities by address of founders that belong to no group.
+  /// Identities of the initial replicas that belong to no group yet, by address.
   std::map<std::string, uint64_t> founders_;
+  /// Whether a group is known to exist, with or without this replica.
   bool group_exists_ = false;
-  /// Replicas that ask to join, by address.
+  /// Join requests by the address of the sender.
   std::map<std::string, v1::JoinRequest> join_requests_;
-  /// Where messages of replicas came from that are not members here (yet).
+  /// Addresses of senders of messages by identity, for replicas that are not members yet.
   std::map<uint64_t, std::string> sender_addresses_;
-  /// Ends with the replica; work that was posted before is dropped then.
+  /// Expires with the replica, so that posted work can detect its destruction.
   const std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
--- a/src/daemon/group/group_role.cc
+++ b/src/daemon/group/group_role.cc
@@ -23,12 +23,13 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-/// How soon a new leader begins to read.
+/// Interval at which the replica checks whether a read of the runner list is due; bounds the delay
+/// after which a new leader starts to read.
 constexpr std::chrono::milliseconds kListPollPeriod{80};
-/// Time for the last messages of a replica that hands over.
+/// Time for the last messages of a leadership transfer.
 constexpr std::chrono::milliseconds kHandOverDelay{600};
-/// Time for the answers to operators that are under way when the replica ends; an answer without a
-/// body takes a round trip, a whole configuration of 1 MB some 100 ms at 100 Mbit/s.
+/// Maximum time to finish responses to operators when the replica stops. A response without a body
+/// takes one round trip, and a configuration of 1 MB about 100 ms at 100 Mbit/s.
 constexpr std::chrono::milliseconds kAnswerTimeout{200};
 constexpr std::chrono::milliseconds kAnswerPoll{5};
 constexpr uint64_t kMsPerSecond = 1000;
@@ -93,9 +94,9 @@
     return errorOf(serving);
   }
   if (!settings_.metrics_address.empty()) {
-    auto telling = metrics_server_.listen(settings_.metrics_address);
-    if (isError(telling)) {
-      return errorOf(telling);
+    auto metrics_serving = metrics_server_.listen(settings_.metrics_address);
+    if (isError(metrics_serving)) {
+      return errorOf(metrics_serving);
     }
   }
   asio::co_spawn(context_, readRunnerLists(), asio::detached);
@@ -103,7 +104,8 @@
   return std::monostate{};
 }
 
-/// A zone may have runners only, so that no machine of the system names it in its settings.
+/// @return whether the zone exists. Checks the runner list too, since a zone that has only runners
+/// appears in no machine's settings.
 bool GroupRole::zoneExists(const std::string& zone) const {
   const auto& runners = lease_service_.runners().runners();
   return settings_.zones.empty() || settings_.zones.contains(zone) ||
@@ -163,7 +165,8 @@
         leads ? 1 : std::max<int64_t>(1, static_cast<int64_t>(replica_.voterCount()));
     const int64_t desired_period_ms =
         relay::desiredListPeriodMs(settings_.bounds.leaving_runner_ms);
-    // Replicas without a leader cost the platform no more than a leader does.
+    // Without a leader, every replica reads the list. Multiplying the period by the number of
+    // voters keeps their combined load on the platform at that of a single leader.
     const int64_t period_ms = relay::listPeriodMs(
         relay::ListPollOptions{.pages = reader_.pages(),
                                .calls_per_s = settings_.runner_list_calls,
@@ -247,7 +250,7 @@
 http::awaitable<void> GroupRole::finish(std::function<void()> stopped) {
   stop_timer_.expires_after(kHandOverDelay);
   co_await stop_timer_.async_wait(kAwait);
-  // An operator whose call is refused turns to another replica at once.
+  // Operators whose calls are refused retry at another replica immediately.
   replica_.end();
   const int64_t until_ms = clock_.monotonicMs() + kAnswerTimeout.count();
   while (operator_server_.requestsInProgress() > 0 && clock_.monotonicMs() < until_ms) {
--- a/src/daemon/group/group_role.h
+++ b/src/daemon/group/group_role.h
@@ -1,6 +1,6 @@
 /// @file
-/// The group role: a replica of the configuration, its operator interface and its service to
-/// relays.
+/// The group role of a daemon: owns a group replica, its storage and links, the operator API, the
+/// lease service for relays, and the reader of the platform's runner list.
 #pragma once
 
 #include <functional>
@@ -25,14 +25,14 @@
 
 namespace workshatch::daemon {
 
-/// Lives on the first worker's event loop; `start`, `stop` and `reload` run on it.
+/// Runs on the first worker's event loop; `start`, `stop` and `reload` must be called on it.
 class GroupRole : public Role {
 public:
   GroupRole(settings::RelaySettings settings, WorkerPool& workers, const Clock& clock,
             RelayAdapters adapters);
 
   Result<std::monostate> start() override;
-  /// Hands leadership over, refuses the calls that still wait, then calls `stopped`.
+  /// Transfers leadership, refuses the calls that are still open, then calls `stopped`.
   void stop(std::function<void()> stopped) override;
   void reload(const settings::RelaySettings& settings) override;
 
@@ -56,7 +56,7 @@
   LeaseService lease_service_;
   OperatorApi operator_api_;
   RunnerListReader reader_;
-  /// When a list was last read whole; negative: never.
+  /// Monotonic time of the last complete read of the runner list; negative if there was none.
   int64_t list_read_at_ms_ = -1;
   link::LinkListener listener_;
   http::Server operator_server_;
--- a/src/daemon/group/group_stats.h
+++ b/src/daemon/group/group_stats.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counters and histograms of one group replica, each declared once.
+/// Counters and histograms of one group replica and their exposition as metrics.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,16 @@
 
 namespace workshatch::daemon {
 
-/// Lives on the replica's event loop; not safe for concurrent use.
+/// Used on the replica's event loop; not safe for concurrent use.
 struct GroupStats {
   uint64_t leaderships_won = 0;
   uint64_t leaderships_lost = 0;
   uint64_t membership_changes = 0;
   uint64_t disk_failures = 0;
-  /// Writes that had to be durable before anything was answered.
+  /// Duration of writes that had to be durable before messages were sent or entries applied.
   metrics::DurationHistogram disk_write;
 
-  /// Appends everything in the Prometheus text format.
+  /// Appends all metrics in the Prometheus text format.
   void expose(std::string& out) const;
 };
 
--- a/src/daemon/group/leader_calls.cc
+++ b/src/daemon/group/leader_calls.cc
@@ -18,11 +18,11 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kStoreLimit{3000};
-constexpr std::chrono::milliseconds kReadLimit{2000};
+constexpr std::chrono::milliseconds kStoreTimeout{3000};
+constexpr std::chrono::milliseconds kReadTimeout{2000};
 constexpr uint32_t kRetryAfterMs = 200;
 
-/// A value that a callback sets and a coroutine waits for, up to a limit.
+/// A value that is set by a callback and awaited by a coroutine, up to a time limit.
 template <typename Value> class Waiter {
 public:
   explicit Waiter(asio::io_context& context) : timer_(context) {}
@@ -54,11 +54,11 @@
 } // namespace
 
 http::Response makeRefusal(http::Status status, std::string code, std::string detail) {
-  const bool again = status == http::Status::service_unavailable;
+  const bool retryable = status == http::Status::service_unavailable;
   return http::makeProblem(http::Problem{.status = status,
                                          .code = std::move(code),
                                          .detail = std::move(detail),
-                                         .retry_after_ms = again ? kRetryAfterMs : 0});
+                                         .retry_after_ms = retryable ? kRetryAfterMs : 0});
 }
 
 bool isStored(const CallOutcome<StoreOutcome>& outcome) {
@@ -98,7 +98,7 @@
   using Outcome = CallOutcome<StoreOutcome>;
   const auto waiter = std::make_shared<Waiter<Outcome>>(context_);
   propose([waiter](const Outcome& outcome) { waiter->set(outcome); });
-  const std::optional<Outcome> outcome = co_await waiter->wait(kStoreLimit);
+  const std::optional<Outcome> outcome = co_await waiter->wait(kStoreTimeout);
   co_return outcome.value_or(StoreOutcome::NotLeader);
 }
 
@@ -113,7 +113,7 @@
       waiter->set(*stored == nullptr ? notConfirmedResponse() : answer(**stored));
     }
   });
-  std::optional<http::Response> response = co_await waiter->wait(kReadLimit);
+  std::optional<http::Response> response = co_await waiter->wait(kReadTimeout);
   co_return response ? std::move(*response) : notConfirmedResponse();
 }
 
--- a/src/daemon/group/lease_service.cc
+++ b/src/daemon/group/lease_service.cc
@@ -15,24 +15,28 @@
 
 namespace {
 
-/// Sums of loads and the list of relays are made anew at most this often, so that a renewal costs
-/// the leader the same however many relays there are.
+/// Minimum interval between two computations of the relay list or the load totals, so that the cost
+/// of a renewal at the leader does not depend on the number of relays.
 constexpr int64_t kMinRefreshMs = 30;
-/// But the list of relays at least this often: callers are told to go to a relay that is gone until
-/// then.
+/// Maximum interval between two computations of the relay list, since callers are referred to a
+/// failed relay until it is removed from the list.
 constexpr int64_t kMaxRefreshMs = 300;
-/// Sums are made anew after one millisecond for so many relays: at 300 every 100 ms. They then lag
-/// behind by a renewal's way and half a period of renewals, in place of a period and a half.
+/// The interval between two computations of load totals is 1 ms per this many relays: 100 ms at 300
+/// relays. The totals then lag by the transit time of a renewal plus half a renewal period, instead
+/// of one and a half periods.
 constexpr int64_t kSummedRelaysPerMs = 3;
-/// Rounds of heartbeats for renewals begin so far apart: within a tick of the group, which has a
-/// round of its own, so that renewals at most double the heartbeats.
+/// Minimum interval between the starts of two rounds of heartbeats for renewals. It is shorter than
+/// a tick of the group, which sends a round of its own, and long enough that renewals at most about
+/// double the number of heartbeats.
 constexpr int64_t kRoundIntervalMs = 25;
-/// When what the link could not bear is gone on with: a fifth of the pace's burst.
+/// Delay after which a push that was stopped by the bandwidth limit continues: a fifth of the time
+/// that the allowed burst takes.
 constexpr std::chrono::milliseconds kPushInterval{10};
 
 } // namespace
 
-/// Begins a new leadership: relays register again.
+/// Resets the state of relays if a new term of leadership has begun, in which all relays register
+/// again.
 void LeaseService::beginTermIfNew() {
   if (updates_.term() == replica_.term()) {
     return;
@@ -51,7 +55,8 @@
   const auto found = relays_.find(relay);
   const bool same = found != relays_.end() && found->second.renewal.incarnation() == incarnation;
   if (same) {
-    // A process that died is missed at once; one that only lost its link renews on another.
+    // A relay process that has died is removed immediately. One that only lost its link renews on a
+    // new link.
     relay_monitor_.forget(relay);
     relays_.erase(found);
   }
@@ -59,7 +64,8 @@
 
 void LeaseService::handleRenewal(const std::shared_ptr<link::FramedLink>& link,
                                  const v1::LeaseRenewal& renewal) {
-  // Also without leading: a relay tells it once, and this replica may lead next.
+  // Recorded even if this replica is not the leader, since a relay sends each crash report once and
+  // this replica may become the leader.
   crash_counts_.addReport(renewal, clock_.monotonicMs());
   if (!replica_.isLeader()) {
     sendLeaderAddress(link, renewal.sequence());
@@ -77,14 +83,15 @@
 }
 
 void LeaseService::addLeaderlessLink(const std::shared_ptr<link::FramedLink>& link) {
-  std::erase_if(leaderless_, [&](const std::weak_ptr<link::FramedLink>& waiting) {
+  std::erase_if(leaderless_links_, [&](const std::weak_ptr<link::FramedLink>& waiting) {
     const auto known = waiting.lock();
     return !known || known == link;
   });
-  leaderless_.push_back(link);
+  leaderless_links_.push_back(link);
 }
 
-/// Tells a relay who leads, as far as this replica knows; confirms nothing.
+/// Sends a relay the members of the group and the leader's address, if known, without a
+/// confirmation.
 void LeaseService::sendLeaderAddress(const std::shared_ptr<link::FramedLink>& link,
                                      uint64_t sequence) const {
   v1::Frame frame;
@@ -98,7 +105,7 @@
 }
 
 void LeaseService::leaderKnown() {
-  for (const auto& waiting : std::exchange(leaderless_, {})) {
+  for (const auto& waiting : std::exchange(leaderless_links_, {})) {
     if (const auto link = waiting.lock()) {
       sendLeaderAddress(link, 0);
     }
@@ -121,7 +128,7 @@
   relay.sent.runner_list_fingerprint = renewal.runner_list_fingerprint();
   rollout_controller_.addReport(renewal);
   relay.renewal = renewal;
-  // Counted already.
+  // The crash reports have been counted by `handleRenewal`.
   relay.renewal.clear_runner_ends();
   relay_monitor_.recordRenewal(renewal.name(), clock_.monotonicMs());
   requestEarlyRenewals(renewal);
@@ -172,8 +179,8 @@
   replica_.read([this, alive = std::weak_ptr<char>(alive_),
                  renewals = std::exchange(pending_renewals_, {})](const Read& read) {
     const auto* stored = std::get_if<const v1::StoredConfiguration*>(&read);
-    // Relays whose renewal the end of this process cuts off turn to another replica with their
-    // link.
+    // An outcome without a value means that this replica is stopping. Relays whose renewals are
+    // then left unanswered lose their link and renew at another replica.
     if (!alive.expired() && stored != nullptr) {
       roundEnded(renewals, *stored != nullptr);
     }
@@ -187,7 +194,8 @@
     std::for_each(renewals.begin(), renewals.end(),
                   [this](const PendingRenewal& renewal) { confirm(renewal); });
   } else if (replica_.isLeader()) {
-    // Elected just now: nothing of its term is committed yet.
+    // The leader was just elected and has not committed an entry of its term. The renewals are
+    // retried in the next round.
     std::move(pending_renewals_.begin(), pending_renewals_.end(), std::back_inserter(renewals));
     pending_renewals_ = std::move(renewals);
   } else {
@@ -209,7 +217,8 @@
     return;
   }
   if (updates_.lacksConfiguration(found->second.sent) && !updates_.linkReady()) {
-    // A confirmation is worth nothing without the configuration: it waits for the link.
+    // A confirmation must come with the configuration, so it waits until the bandwidth limit
+    // allows sending both.
     pending_renewals_.push_back(renewal);
     return;
   }
@@ -223,13 +232,13 @@
   send(link, frame);
 }
 
-/// Sends a frame, and counts what is large towards the link's pace.
+/// Sends a frame and counts large data against the bandwidth limit.
 void LeaseService::send(const std::shared_ptr<link::FramedLink>& link, const v1::Frame& frame) {
   updates_.recordSent(frame);
   link->send(frame);
 }
 
-/// Gives the orders that are due by the ends of runners that relays have told.
+/// Proposes the quarantine orders that are due according to the runner crashes reported by relays.
 void LeaseService::orderQuarantine() {
   for (v1::QuarantineOrder& order :
        crash_counts_.dueOrders(clock_.monotonicMs(), clock_.wallMs())) {
@@ -240,7 +249,7 @@
                      {"counted", crash_counts_.requestCount()}});
     v1::GroupCommand command;
     *command.mutable_quarantine() = std::move(order);
-    // One that is not stored is due again a moment later.
+    // The outcome is ignored: an order that was not stored becomes due again.
     replica_.order(command, [](const CallOutcome<StoreOutcome>&) {});
   }
 }
@@ -254,8 +263,8 @@
       .renewal_period_ms = relay::renewalPeriodForFleetMs(relay::kRenewalPeriodMs, relays_.size()),
       .silent = silent_relays_.count(clock_.monotonicMs())};
   for (const auto& [name, relay] : relays_) {
-    const bool knows = relay.renewal.rollout_version() >= version;
-    relays.all_up_to_date = relays.all_up_to_date && knows;
+    const bool up_to_date = relay.renewal.rollout_version() >= version;
+    relays.all_up_to_date = relays.all_up_to_date && up_to_date;
     for (const v1::RolloutReport& report : relay.renewal.rollouts()) {
       relays.former_in_progress[report.rollout()] += report.former_in_progress();
     }
@@ -263,7 +272,8 @@
   rollout_controller_.step(relays, updates_.runners());
 }
 
-/// Asks relays that did not answer another one to renew at once.
+/// Asks the relays that the renewal reports as silent to renew immediately, to find out whether
+/// they have failed.
 void LeaseService::requestEarlyRenewals(const v1::LeaseRenewal& renewal) {
   for (const std::string& address : renewal.silent_relays()) {
     const auto found = std::find_if(relays_.begin(), relays_.end(), [&](const auto& entry) {
@@ -307,28 +317,28 @@
 
 v1::RunnerLoads LeaseService::totalLoads() {
   const uint64_t version = updates_.runners().version();
-  relay::LoadTotals sums(version, static_cast<size_t>(updates_.runners().runners_size()));
+  relay::LoadTotals totals(version, static_cast<size_t>(updates_.runners().runners_size()));
   for (const auto& [name, relay] : relays_) {
     const v1::RunnerLoads& loads = relay.renewal.loads();
     if (loads.list_version() == version) {
-      sums.add(loads);
+      totals.add(loads);
     } else if (const auto* positions = updates_.positionsFrom(loads.list_version())) {
-      sums.addFromOlderList(loads, *positions);
+      totals.addFromOlderList(loads, *positions);
     }
   }
-  return sums.totals();
+  return totals.totals();
 }
 
 v1::TenantPositions LeaseService::tenantsOverShare() const {
-  relay::TenantTotals sums(replica_.stored().version());
+  relay::TenantTotals totals(replica_.stored().version());
   for (const auto& [name, relay] : relays_) {
-    sums.add(relay.renewal.tenants());
+    totals.add(relay.renewal.tenants());
   }
-  uint64_t places = 0;
+  uint64_t slots = 0;
   for (const v1::RunnerEntry& runner : updates_.runners().runners()) {
-    places += runner.slots();
+    slots += runner.slots();
   }
-  return sums.overShare(places);
+  return totals.overShare(slots);
 }
 
 void LeaseService::updateRunnerList(v1::RunnerList list) {
@@ -342,7 +352,7 @@
   }
   line_log::write("runner_list", {{"version", updates_.runners().version()},
                                   {"runners", updates_.runners().runners_size()}});
-  pushLargeParts();
+  pushLargeData();
 }
 
 void LeaseService::pushOrders() {
@@ -357,26 +367,27 @@
   }
 }
 
-void LeaseService::pushLargeParts() {
+void LeaseService::pushLargeData() {
   if (!push_scheduled_) {
-    pushUntilPaced();
+    pushUntilLimit();
   }
 }
 
-/// Sends to the relays that lack something until the link has enough, and goes on a moment later.
-void LeaseService::pushUntilPaced() {
+/// Pushes large data to relays that lack it until the bandwidth limit is reached, and continues
+/// after a delay.
+void LeaseService::pushUntilLimit() {
   push_scheduled_ = false;
   if (!replica_.leads()) {
     return;
   }
-  bool left = false;
+  bool incomplete = false;
   for (auto& [name, relay] : relays_) {
     const auto link = relay.link.lock();
-    if (!link || !updates_.lacksLargePart(relay.sent)) {
+    if (!link || !updates_.lacksLargeData(relay.sent)) {
       continue;
     }
     if (!updates_.linkReady()) {
-      left = true;
+      incomplete = true;
       break;
     }
     v1::Frame frame;
@@ -384,27 +395,28 @@
     updates_.addRunners(relay.sent, *frame.mutable_lease());
     send(link, frame);
   }
-  if (!left) {
+  if (!incomplete) {
     return;
   }
   push_scheduled_ = true;
   push_timer_.expires_after(kPushInterval);
   push_timer_.async_wait([this](boost::system::error_code failure) {
     if (!failure) {
-      pushUntilPaced();
+      pushUntilLimit();
     }
   });
 }
 
 void LeaseService::stateChanged() {
-  // A replica that does not lead remembers it too: it may have to tell the difference later.
-  updates_.rememberConfiguration();
+  // Recorded even if this replica is not the leader, since it may later send differences to this
+  // configuration as the leader.
+  updates_.recordConfiguration();
   crash_counts_.setQuarantine(replica_.quarantine());
   if (!replica_.leads()) {
     return;
   }
   pushOrders();
-  pushLargeParts();
+  pushLargeData();
 }
 
 } // namespace workshatch::daemon
--- a/src/daemon/group/lease_service.h
+++ b/src/daemon/group/lease_service.h
@@ -1,5 +1,6 @@
 /// @file
-/// What the leader of the group does for the relays: leases, pushes, sums of loads.
+/// The leader's service for relays: confirms their leases, pushes updates to them, adds up their
+/// load reports, and detects relays that have failed.
 #pragma once
 
 #include <cstdint>
@@ -23,11 +24,12 @@
 
 namespace workshatch::daemon {
 
-/// Answers the renewals of relays. Lives on the replica's event loop; not safe for concurrent use.
+/// Answers lease renewals of relays. Used on the replica's event loop; not safe for concurrent use.
 ///
 /// A renewal is confirmed only after a majority has answered a heartbeat that this leader sent
-/// after the renewal arrived; so a confirmed relay has, with the answer, every configuration
-/// acknowledged before it asked. Renewals that arrive close together share a round of heartbeats.
+/// after the renewal arrived. The confirmation therefore brings the relay every configuration that
+/// was acknowledged before it sent the renewal. Renewals that arrive close together share one round
+/// of heartbeats.
 class LeaseService {
 public:
   /// @param link_mbps bandwidth of the machine's link in Mbit/s
@@ -36,33 +38,36 @@
       : replica_(replica), clock_(clock), updates_(replica, clock, link_mbps),
         rollout_controller_(replica, clock), round_timer_(context), push_timer_(context) {}
 
+  /// Handles a renewal. A replica that is not the leader answers with the leader's address.
   void handleRenewal(const std::shared_ptr<link::FramedLink>& link,
                      const v1::LeaseRenewal& renewal);
 
-  /// Tells relays that asked while no leader was known.
+  /// Sends the leader's address to the relays that renewed while no leader was known.
   void leaderKnown();
 
-  /// Notes that the link of a relay's process has ended.
+  /// Handles a closed link: removes the relay unless another incarnation has renewed since.
   void linkClosed(const std::string& relay, uint64_t incarnation);
 
-  /// Takes a list of runners read from the platform; pushes it when it differs.
+  /// Handles a runner list read from the platform. The leader pushes it to relays if runners
+  /// changed.
   void updateRunnerList(v1::RunnerList list);
 
-  /// Relays that renew with this replica.
+  /// @return the number of relays that renew with this replica.
   size_t relayCount() const { return relays_.size(); }
   const v1::RunnerList& runners() const { return updates_.runners(); }
 
-  /// Takes note of a change of the replicated state; the leader pushes it to all relays.
+  /// Handles a change of the replicated state. The leader pushes it to all relays.
   void stateChanged();
 
 private:
+  /// A relay that renews with this leader.
   struct Relay {
     std::weak_ptr<link::FramedLink> link;
     v1::LeaseRenewal renewal;
     SentVersions sent;
   };
 
-  /// A renewal that waits for its confirmation.
+  /// A renewal that waits for a majority to confirm the leader.
   struct PendingRenewal {
     std::weak_ptr<link::FramedLink> link;
     std::string relay;
@@ -85,11 +90,13 @@
   v1::TenantPositions tenantsOverShare() const;
   void orderQuarantine();
   void stepRollouts();
-  /// Tells all relays which zones are evacuated and which requests are in quarantine, at once.
+  /// Pushes evacuations, quarantine and rollouts to all relays that lack them, without a bandwidth
+  /// limit.
   void pushOrders();
-  /// Tells all relays the configuration and the list of runners, as fast as the link bears.
-  void pushLargeParts();
-  void pushUntilPaced();
+  /// Pushes the configuration and the runner list to all relays that lack them, as fast as the
+  /// bandwidth limit allows.
+  void pushLargeData();
+  void pushUntilLimit();
   void send(const std::shared_ptr<link::FramedLink>& link, const v1::Frame& frame);
 
   GroupReplica& replica_;
@@ -99,8 +106,10 @@
   RolloutController rollout_controller_;
   relay::RelayMonitor relay_monitor_;
   relay::SilentRelays silent_relays_;
-  /// Kept across leaderships: it is what relays saw, and each relay tells it once on a link.
+  /// Crash reports of runners. Kept across terms of leadership, since each relay sends a report
+  /// only once on a link.
   relay::RunnerCrashCounts crash_counts_;
+  /// Monotonic times from which the relay list and the load totals may be recomputed.
   int64_t refresh_due_ms_ = 0;
   int64_t load_totals_due_ms_ = 0;
 
@@ -111,9 +120,9 @@
   boost::asio::steady_timer round_timer_;
   boost::asio::steady_timer push_timer_;
   bool push_scheduled_ = false;
-  /// Links of relays that asked while no leader was known.
-  std::vector<std::weak_ptr<link::FramedLink>> leaderless_;
-  /// Ends with the hub; reads that are answered later are dropped then.
+  /// Links of relays that renewed while no leader was known.
+  std::vector<std::weak_ptr<link::FramedLink>> leaderless_links_;
+  /// Expires with this object, so that a read callback can detect its destruction.
   const std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
--- a/src/daemon/group/lease_updates.cc
+++ b/src/daemon/group/lease_updates.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A new leader tells no list of relays and no sums before all had time to renew.
+/// A new leader sends neither the relay list nor load totals until all relays had time to renew.
 constexpr int64_t kSettleMs = 1000;
 constexpr int64_t kLoadTotalsBytesPerSecond = 2048;
 constexpr int64_t kMaxLoadTotalsIntervalMs = 1000;
@@ -50,7 +50,7 @@
   return replica_.stored().version() > sent.configuration;
 }
 
-bool LeaseUpdates::lacksLargePart(const SentVersions& sent) const {
+bool LeaseUpdates::lacksLargeData(const SentVersions& sent) const {
   const uint64_t list_version = runners_.list().version();
   return lacksConfiguration(sent) || (list_version != 0 && list_version != sent.runner_list);
 }
@@ -97,12 +97,12 @@
   sent.members = std::move(members);
 }
 
-/// Sums of a large fleet are long; they are told less often, so that a relay's share of its link
-/// stays the same.
+/// Adds the load totals if they are due. Totals of a large fleet are large and are sent less often,
+/// so that they use the same bandwidth on each relay's link as for a small fleet.
 void LeaseUpdates::addLoadTotals(SentVersions& sent, v1::LeaseReply& reply) const {
   const int64_t now = clock_.monotonicMs();
-  // A new leader knows the loads of the relays that have renewed since; too low a mean would make
-  // limits that follow it refuse places that are free.
+  // A new leader only knows the loads of relays that have renewed since it was elected. The
+  // resulting mean would be too low, and limits derived from it would refuse free slots.
   const bool settled = replica_.leadingForMs() >= kSettleMs;
   const bool known = settled && load_totals_.list_version() != 0 &&
                      load_totals_.list_version() == runners_.list().version();
--- a/src/daemon/group/lease_updates.h
+++ b/src/daemon/group/lease_updates.h
@@ -1,5 +1,6 @@
 /// @file
-/// What the leader tells relays with its answers: all that a relay lacks.
+/// The updates that the leader adds to its lease replies: each relay gets what it does not have
+/// yet.
 #pragma once
 
 #include <cstdint>
@@ -17,69 +18,76 @@
 
 namespace workshatch::daemon {
 
-/// Versions that a relay has once it has read all that was sent on its link.
+/// Versions of the data already sent on a relay's link. The relay has them once it has read
+/// everything from the link.
 struct SentVersions {
   uint64_t configuration = 0;
   uint64_t runner_list = 0;
-  /// Of the list of runners that the relay has, as it told last.
+  /// Fingerprint of the relay's runner list, from its last renewal.
   uint64_t runner_list_fingerprint = 0;
   uint64_t relay_list = 0;
   uint64_t evacuations = 0;
   uint64_t quarantine = 0;
   uint64_t rollouts = 0;
   std::vector<std::string> members;
-  /// When sums of loads may be sent again.
+  /// Monotonic time from which load totals may be sent again.
   int64_t load_totals_due_ms = 0;
 };
 
-/// The parts of the leader's answers, each sent once on a link: what is on its way is not sent
-/// again, since a large configuration would fill the link of a slow relay with copies. Lives on the
-/// replica's event loop; not safe for concurrent use.
+/// Keeps the data that the leader distributes to relays and adds to each reply what the relay does
+/// not have yet. Data that was sent on a link is not sent again while it is in transit, since
+/// copies of a large configuration would fill the link of a slow relay. Used on the replica's event
+/// loop; not safe for concurrent use.
 class LeaseUpdates {
 public:
   /// @param link_mbps bandwidth of the machine's link in Mbit/s
   LeaseUpdates(GroupReplica& replica, const Clock& clock, double link_mbps)
       : replica_(replica), clock_(clock), pacer_(link_mbps) {}
 
-  /// Begins a new leadership: versions lie above all earlier ones.
+  /// Starts a new term of leadership, whose versions are higher than all earlier ones.
   void beginTerm();
   uint64_t term() const { return versions_.term(); }
 
-  /// Takes a list of runners read from the platform.
-  /// @return whether relays are to be told now.
+  /// Replaces the runner list by one read from the platform.
+  /// @return whether the change must be pushed to relays now.
   bool updateRunners(v1::RunnerList list);
-  /// Keeps a list that was read while nobody led, for a leadership that begins soon.
+  /// Keeps a list that was read while this replica was not the leader, for use if it becomes the
+  /// leader soon.
   void updateRunnersWithoutLeader(v1::RunnerList list);
   const v1::RunnerList& runners() const { return runners_.list(); }
-  /// @return where the runners of an earlier list stand in the present one; null: not known.
+  /// @return the positions in the current list of the runners of an earlier list, by their position
+  /// in that list; null if the earlier list is not known.
   const std::vector<std::optional<uint32_t>>* positionsFrom(uint64_t list_version) {
     return runner_history_.positionsFrom(list_version);
   }
 
-  /// Takes the relays that callers are told.
+  /// Replaces the list of relays that callers may be referred to.
   void setRelays(v1::RelayList list);
-  /// Takes the sums over all relays.
-  void setLoadTotals(v1::RunnerLoads sums) { load_totals_ = std::move(sums); }
+  /// Replaces the load totals over all relays.
+  void setLoadTotals(v1::RunnerLoads totals) { load_totals_ = std::move(totals); }
+  /// Replaces the list of tenants that exceed their share.
   void setOverShare(v1::TenantPositions over_share) { over_share_ = std::move(over_share); }
-  /// Remembers the stored configuration, to tell relays the difference to it later.
-  void rememberConfiguration() { configurations_.add(replica_.stored()); }
+  /// Records the stored configuration, so that later ones can be sent as a difference to it.
+  void recordConfiguration() { configurations_.add(replica_.stored()); }
 
+  /// @return whether the relay has an older configuration than the stored one.
   bool lacksConfiguration(const SentVersions& sent) const;
-  /// @return whether the relay lacks the configuration or the list of runners.
-  bool lacksLargePart(const SentVersions& sent) const;
-  /// @return whether the relay lacks evacuations, the quarantine or rollouts.
+  /// @return whether the relay lacks the current configuration or runner list.
+  bool lacksLargeData(const SentVersions& sent) const;
+  /// @return whether the relay lacks the current evacuations, quarantine or rollouts.
   bool lacksOrders(const SentVersions& sent) const;
 
-  /// Add what the relay lacks, and note it as sent.
+  /// Each of these adds the data that the relay lacks to the reply and records it as sent.
   void addConfiguration(SentVersions& sent, v1::LeaseReply& reply);
   void addRunners(SentVersions& sent, v1::LeaseReply& reply);
   void addOrders(SentVersions& sent, v1::LeaseReply& reply) const;
-  /// Adds everything; lists that the link can't bear now come with a later answer or push.
+  /// Adds all data that the relay lacks. The runner and relay lists are left for a later reply or
+  /// push while the link is at its bandwidth limit.
   void addAll(SentVersions& sent, v1::LeaseReply& reply);
 
-  /// @return whether the link bears large parts now.
+  /// @return whether the bandwidth limit allows sending large data now.
   bool linkReady() { return pacer_.ready(clock_.monotonicMs()); }
-  /// Counts a reply with large parts towards the link's pace.
+  /// Counts a reply that contains large data against the bandwidth limit.
   void recordSent(const v1::Frame& frame);
 
 private:
--- a/src/daemon/group/operator_api.h
+++ b/src/daemon/group/operator_api.h
@@ -1,6 +1,6 @@
 /// @file
-/// The operator's calls, over HTTP: put and get of the whole configuration, evacuations of zones,
-/// rollouts.
+/// The HTTP API for operators: write and read the whole configuration, evacuate zones, start and
+/// query rollouts.
 #pragma once
 
 #include <functional>
@@ -17,14 +17,14 @@
 
 namespace workshatch::daemon {
 
-/// Answers operators at one replica. A replica that does not lead sends them to the leader. Lives
-/// on the replica's event loop.
+/// Serves operator calls at one replica. A replica that is not the leader redirects them to the
+/// leader. Used on the replica's event loop; not safe for concurrent use.
 class OperatorApi {
 public:
-  /// @return whether a zone with this name exists.
+  /// Returns whether a zone with this name exists.
   using ZoneCheck = std::function<bool(const std::string& zone)>;
 
-  /// @param port the operator port, alike on all machines
+  /// @param port the operator port, which is the same on all machines
   OperatorApi(boost::asio::io_context& context, GroupReplica& replica, const Clock& clock,
               const ConfigurationCodec& codec, const RelayDialect& dialect, std::string port,
               ZoneCheck zone_exists, RolloutApi::RunnerSource runners)
--- a/src/daemon/group/redirect_role.h
+++ b/src/daemon/group/redirect_role.h
@@ -1,5 +1,6 @@
 /// @file
-/// The group's role on a machine without a disk: operators are sent to the replicas.
+/// The role of a machine without a disk, which holds no group replica: redirects operators to the
+/// replicas.
 #pragma once
 
 #include <functional>
@@ -14,8 +15,8 @@
 
 namespace workshatch::daemon {
 
-/// Answers each call of an operator with 307 to one of the seeds, in turn. Holds no state of the
-/// group, so it neither votes nor counts as a replica.
+/// Answers each operator call with a redirect (307) to one of the seeds, in rotation. Holds no
+/// group state, so that it neither votes nor counts as a replica.
 class RedirectRole : public Role {
 public:
   RedirectRole(settings::RelaySettings settings, WorkerPool& workers);
@@ -26,7 +27,7 @@
 
 private:
   http::awaitable<void> handle(http::Exchange& exchange);
-  /// The next seed that isn't this machine; empty: there is none.
+  /// @return the next seed in rotation that is not this machine; empty if there is none.
   std::string nextSeed();
 
   settings::RelaySettings settings_;
--- a/src/daemon/group/rollout_api.cc
+++ b/src/daemon/group/rollout_api.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Operators send a call whose answer was lost again for some seconds; what comes later is meant as
-/// another rollout.
+/// Time after the planned end of a rollout in which the same call counts as a repetition. Operators
+/// repeat a call whose response was lost for a few seconds; a later call requests a new rollout.
 constexpr uint64_t kRepeatWindowMs = 15'000;
 
 RolloutState stateOf(const v1::Rollout& rollout) {
@@ -49,16 +49,16 @@
 }
 
 std::optional<http::Response>
-RolloutApi::responseWithoutOrder(const RolloutRequest& wish,
+RolloutApi::responseWithoutOrder(const RolloutRequest& request,
                                  const std::vector<std::string>& versions) const {
-  const v1::Rollout* existing = replica_.findRollout(wish.service);
+  const v1::Rollout* existing = replica_.findRollout(request.service);
   if (existing != nullptr && relay::isInProgress(*existing)) {
     return rolloutInProgressResponse(*existing);
   }
-  const bool sent_again =
-      existing != nullptr && existing->target_version() == wish.target_version &&
+  const bool repeated =
+      existing != nullptr && existing->target_version() == request.target_version &&
       clock_.wallMs() < existing->ordered_ms() + existing->duration_ms() + kRepeatWindowMs;
-  if (sent_again) {
+  if (repeated) {
     return responseTo(StoreOutcome::Stored);
   }
   if (runners_().version() == 0) {
@@ -67,13 +67,13 @@
   }
   if (versions.empty()) {
     return makeRefusal(http::Status::bad_request, "no_service",
-                       "no service \"" + wish.service + "\" has runners");
+                       "no service \"" + request.service + "\" has runners");
   }
-  const bool in_force = versions.size() == 1 && versions.front() == wish.target_version;
+  const bool in_force = versions.size() == 1 && versions.front() == request.target_version;
   if (in_force) {
     return makeRefusal(http::Status::bad_request, "same_version",
-                       "all runners of \"" + wish.service + "\" have version \"" +
-                           wish.target_version + "\"");
+                       "all runners of \"" + request.service + "\" have version \"" +
+                           request.target_version + "\"");
   }
   return std::nullopt;
 }
@@ -92,22 +92,22 @@
     co_await exchange.respond(std::move(redirect));
     co_return;
   }
-  const RolloutRequest& wish = std::get<RolloutRequest>(decoded);
-  const std::vector<std::string> versions = versionsOf(wish.service);
-  if (auto answer = responseWithoutOrder(wish, versions)) {
-    line_log::write("rollout_not_ordered", {{"service", wish.service},
-                                            {"target_version", wish.target_version},
+  const RolloutRequest& request = std::get<RolloutRequest>(decoded);
+  const std::vector<std::string> versions = versionsOf(request.service);
+  if (auto answer = responseWithoutOrder(request, versions)) {
+    line_log::write("rollout_not_ordered", {{"service", request.service},
+                                            {"target_version", request.target_version},
                                             {"status", answer->result_int()}});
     co_await exchange.respond(std::move(*answer));
     co_return;
   }
   v1::Rollout rollout;
-  rollout.set_service(wish.service);
-  rollout.set_target_version(wish.target_version);
-  rollout.set_duration_ms(wish.duration_ms);
+  rollout.set_service(request.service);
+  rollout.set_target_version(request.target_version);
+  rollout.set_duration_ms(request.duration_ms);
   rollout.set_ordered_ms(clock_.wallMs());
   for (const std::string& version : versions) {
-    if (version != wish.target_version) {
+    if (version != request.target_version) {
       rollout.add_former_versions(version);
     }
   }
@@ -128,7 +128,7 @@
                                       {"version", replica_.rollouts().version()}});
   const v1::Rollout* existing = replica_.findRollout(rollout.service());
   const bool other = existing != nullptr && existing->target_version() != rollout.target_version();
-  // Another call's order was committed just before this one.
+  // The rollout of a concurrent call was committed first.
   co_return isStored(outcome) && other ? rolloutInProgressResponse(*existing) : responseTo(outcome);
 }
 
@@ -149,7 +149,7 @@
     co_await exchange.respond(std::move(redirect));
     co_return;
   }
-  // Named, since GCC 12 destroys a temporary of a co_await expression twice.
+  // A named variable, because GCC 12 destroys temporaries in a co_await expression twice.
   const LeaderCalls::ReadResponder answer = [this, service](const v1::StoredConfiguration&) {
     return rolloutResponse(service);
   };
--- a/src/daemon/group/rollout_api.h
+++ b/src/daemon/group/rollout_api.h
@@ -1,5 +1,5 @@
 /// @file
-/// The operator's calls about rollouts, at the replica that leads.
+/// The part of the operator HTTP API that starts and queries rollouts.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,14 @@
 
 namespace workshatch::daemon {
 
-/// A call that begins a rollout is answered once a majority has stored it. Sent again, it is
-/// refused as under way while the rollout runs, and acknowledged again for a while after its end.
-/// Lives on the replica's event loop; not safe for concurrent use.
+/// Serves the rollout calls of operators; only the leader serves them, other replicas redirect. A
+/// call that starts a rollout is answered once a majority has stored it. If the call is repeated,
+/// it is refused as under way while the rollout runs, and acknowledged again for a limited time
+/// after the rollout ended. Used on the replica's event loop; not safe for concurrent use.
 class RolloutApi {
 public:
-  /// @return the runners that the leader tells relays; version zero: it has no list yet.
+  /// Returns the runner list that the leader sends to relays; its version is zero while there is
+  /// none.
   using RunnerSource = std::function<const v1::RunnerList&()>;
 
   RolloutApi(GroupReplica& replica, const Clock& clock, const RelayDialect& dialect,
@@ -33,10 +35,13 @@
   http::awaitable<void> begin(http::Exchange& exchange);
   http::awaitable<void> sendRolloutStatus(http::Exchange& exchange, std::string service);
   http::awaitable<http::Response> order(v1::Rollout rollout);
-  /// @return the answer to a wish that needs no order, or can't be ordered.
+  /// @return the response if no rollout has to be proposed, because the same one was ordered before
+  /// or the request can't be met; nothing if a rollout has to be proposed.
   std::optional<http::Response>
-  responseWithoutOrder(const RolloutRequest& wish, const std::vector<std::string>& versions) const;
+  responseWithoutOrder(const RolloutRequest& request,
+                       const std::vector<std::string>& versions) const;
   http::Response rolloutResponse(const std::string& service) const;
+  /// @return the distinct versions of the service's runners.
   std::vector<std::string> versionsOf(const std::string& service) const;
 
   GroupReplica& replica_;
--- a/src/daemon/group/rollout_controller.cc
+++ b/src/daemon/group/rollout_controller.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// Each relay has renewed with a new leader after so many periods.
+/// Number of renewal periods after which all relays have renewed with a new leader.
 constexpr int64_t kSettlePeriods = 3;
-/// A proposal that was not committed is made again.
+/// Time after which a proposal that was not committed is repeated.
 constexpr int64_t kProposalRetryMs = 500;
-/// A relay that fell silent serves requests for the rest of its lease; those that it sent by then
-/// have ended, or are cut with the relay.
+/// Time after which requests of a silent relay have ended. Such a relay may serve requests for the
+/// rest of its lease; after this time they have completed or were aborted with the relay.
 constexpr int64_t kSilentRelayLeaseMs = 5000;
 
 } // namespace
@@ -27,7 +27,7 @@
     return found->second;
   }
   const auto since_order = static_cast<int64_t>(clock_.wallMs() - rollout.ordered_ms());
-  // Wall clocks of two leaders may differ.
+  // The wall clock may differ from that of the leader that ordered the rollout.
   const int64_t elapsed_ms = std::clamp<int64_t>(since_order, 0, rollout.duration_ms());
   return tracked_rollouts_
       .emplace(rollout.id(), TrackedRollout(relay::RolloutAnalysis(rollout, elapsed_ms, now_ms)))
@@ -36,23 +36,24 @@
 
 void RolloutController::addReport(const v1::LeaseRenewal& renewal) {
   for (const v1::RolloutReport& report : renewal.rollouts()) {
-    const auto& held = replica_.rollouts().rollouts();
-    const auto rollout = std::find_if(held.begin(), held.end(), [&](const v1::Rollout& candidate) {
-      return candidate.id() == report.rollout();
-    });
-    if (rollout != held.end() && relay::isInProgress(*rollout)) {
+    const auto& rollouts = replica_.rollouts().rollouts();
+    const auto rollout =
+        std::find_if(rollouts.begin(), rollouts.end(), [&](const v1::Rollout& candidate) {
+          return candidate.id() == report.rollout();
+        });
+    if (rollout != rollouts.end() && relay::isInProgress(*rollout)) {
       trackedRollout(*rollout).analysis.addReport(renewal.name(), renewal.incarnation(), report,
                                                   clock_.monotonicMs());
     }
   }
 }
 
-relay::RolloutConditions RolloutController::situationOf(const v1::Rollout& rollout,
-                                                        const TrackedRollout& tracked,
-                                                        const RelayRolloutSummary& relays,
-                                                        const v1::RunnerList& runners) const {
+relay::RolloutConditions RolloutController::conditionsOf(const v1::Rollout& rollout,
+                                                         const TrackedRollout& tracked,
+                                                         const RelayRolloutSummary& relays,
+                                                         const v1::RunnerList& runners) const {
   const int64_t now_ms = clock_.monotonicMs();
-  relay::RolloutConditions situation{
+  relay::RolloutConditions conditions{
       .now_ms = now_ms,
       .all_relays_reported = replica_.leadingForMs() >= kSettlePeriods * relays.renewal_period_ms};
   for (const v1::RunnerEntry& runner : runners.runners()) {
@@ -60,14 +61,14 @@
       continue;
     }
     const bool target = runner.version() == rollout.target_version();
-    (target ? situation.target_slots : situation.former_slots) += runner.slots();
+    (target ? conditions.target_slots : conditions.former_slots) += runner.slots();
   }
   const auto left = relays.former_in_progress.find(rollout.id());
   const bool none_left = left == relays.former_in_progress.end() || left->second == 0;
   const bool silent_ended =
       relays.silent == 0 || now_ms - tracked.phase_since_ms >= kSilentRelayLeaseMs;
-  situation.former_idle = relays.all_up_to_date && none_left && silent_ended;
-  return situation;
+  conditions.former_idle = relays.all_up_to_date && none_left && silent_ended;
+  return conditions;
 }
 
 void RolloutController::step(const RelayRolloutSummary& relays, const v1::RunnerList& runners) {
@@ -85,7 +86,7 @@
     const bool proposed =
         tracked.proposed_ms != 0 && now_ms - tracked.proposed_ms < kProposalRetryMs;
     const auto next =
-        tracked.analysis.decide(rollout.phase(), situationOf(rollout, tracked, relays, runners));
+        tracked.analysis.decide(rollout.phase(), conditionsOf(rollout, tracked, relays, runners));
     if (next && !proposed) {
       propose(rollout, *next, tracked);
     }
@@ -114,7 +115,7 @@
   verdict.set_service(rollout.service());
   verdict.set_id(rollout.id());
   verdict.set_phase(phase);
-  // One that is not stored is due again a moment later.
+  // The outcome is ignored: a verdict that was not stored is proposed again.
   replica_.order(command, [](const CallOutcome<StoreOutcome>&) {});
 }
 
--- a/src/daemon/group/rollout_controller.h
+++ b/src/daemon/group/rollout_controller.h
@@ -1,5 +1,5 @@
 /// @file
-/// The leader's part in rollouts: judges those that are under way, and proposes their next phases.
+/// The leader's control of rollouts: evaluates the running ones and proposes their next phases.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,28 @@
 
 namespace workshatch::daemon {
 
-/// What all relays tell of rollouts together.
+/// Summary of the state of all relays that matters for rollouts.
 struct RelayRolloutSummary {
   int64_t renewal_period_ms = 0;
-  /// Each relay has the newest list of rollouts.
+  /// Whether each relay has the newest list of rollouts.
   bool all_up_to_date = true;
-  /// Relays that fell silent lately: they may have requests in progress that nobody tells of.
+  /// Number of relays that fell silent recently. Their requests in progress are not reported.
   uint32_t silent = 0;
-  /// Requests in progress at former versions, by index of the rollout's order.
+  /// Requests in progress at former versions, by rollout id.
   std::map<uint64_t, uint32_t> former_in_progress;
 };
 
-/// Lives on the replica's event loop; not safe for concurrent use.
+/// Evaluates running rollouts by the outcomes that relays report. Used on the replica's event loop;
+/// not safe for concurrent use.
 class RolloutController {
 public:
   RolloutController(GroupReplica& replica, const Clock& clock) : replica_(replica), clock_(clock) {}
 
-  /// Begins a new leadership: relays tell their outcomes again.
+  /// Starts a new term of leadership, in which relays report all outcomes again.
   void beginTerm() { tracked_rollouts_.clear(); }
-  /// Takes what a relay tells of rollouts.
+  /// Records the rollout reports of a renewal.
   void addReport(const v1::LeaseRenewal& renewal);
-  /// Proposes the phases that are due.
+  /// Proposes the next phase of each rollout that is due for one.
   void step(const RelayRolloutSummary& relays, const v1::RunnerList& runners);
 
 private:
@@ -39,20 +40,21 @@
     explicit TrackedRollout(relay::RolloutAnalysis begun) : analysis(std::move(begun)) {}
     relay::RolloutAnalysis analysis;
     v1::RolloutPhase phase = v1::ROLLOUT_PHASE_UNKNOWN;
-    /// When the present phase was seen first, and when a next one was proposed last.
+    /// Monotonic time at which the current phase was first seen.
     int64_t phase_since_ms = 0;
+    /// Monotonic time of the last proposal of a next phase; zero if there was none in this phase.
     int64_t proposed_ms = 0;
   };
 
   TrackedRollout& trackedRollout(const v1::Rollout& rollout);
-  relay::RolloutConditions situationOf(const v1::Rollout& rollout, const TrackedRollout& tracked,
-                                       const RelayRolloutSummary& relays,
-                                       const v1::RunnerList& runners) const;
+  relay::RolloutConditions conditionsOf(const v1::Rollout& rollout, const TrackedRollout& tracked,
+                                        const RelayRolloutSummary& relays,
+                                        const v1::RunnerList& runners) const;
   void propose(const v1::Rollout& rollout, v1::RolloutPhase phase, TrackedRollout& tracked);
 
   GroupReplica& replica_;
   const Clock& clock_;
-  /// By index of the rollout's order in the replicated log.
+  /// By rollout id, which is the log index of the rollout's order.
   std::map<uint64_t, TrackedRollout> tracked_rollouts_;
 };
 
--- a/tests/unit/daemon/group/group_fixture.h
+++ b/tests/unit/daemon/group/group_fixture.h
@@ -1,5 +1,6 @@
 /// @file
-/// Replicas of a group on one event loop, with disks in memory and messages that a test may lose.
+/// Fixture for group tests: replicas on one event loop, with in-memory disks and a transport that
+/// can drop messages.
 #pragma once
 
 #include <algorithm>
@@ -35,14 +36,15 @@
   return command;
 }
 
-/// Replicas on one event loop; messages to machines that are down are lost.
+/// A group of replicas on one event loop. Messages to machines without a running replica are
+/// dropped.
 class Group {
 public:
-  /// @param voters as many as the group grows to
+  /// @param voters number of voters up to which the group grows
   explicit Group(size_t voters = 3) : voters_(voters) {}
 
   struct Machine {
-    /// Time of the machine, which may sleep.
+    /// The machine's clock, which a test can advance as if the machine had been suspended.
     SuspendableClock clock;
     std::unique_ptr<MemoryStore> disk;
     std::unique_ptr<GroupReplica> replica;
@@ -71,13 +73,13 @@
     });
     REQUIRE_FALSE(isError(machine.replica->start()));
   }
-  /// The machine sleeps: its process and its timers stand still.
+  /// Simulates a suspension of the machine: its clock jumps ahead.
   void sleep(const std::string& address, int64_t milliseconds) {
     machines_.at(address).clock.sleepFor(milliseconds);
   }
-  /// Ends the process; its timers and messages end with it.
+  /// Kills the replica's process, with its timers and the messages sent to it. The disk remains.
   void kill(const std::string& address) { machines_.at(address).replica.reset(); }
-  /// Loses all messages to and from a machine.
+  /// Drops Raft messages to and from a machine while `cut` is set.
   void cutOff(const std::string& address, bool cut) {
     if (cut) {
       cut_off_.insert(address);
@@ -85,6 +87,7 @@
       cut_off_.erase(address);
     }
   }
+  /// Erases the machine's disk.
   void wipe(const std::string& address) { machines_.at(address).disk.reset(); }
 
   bool runUntil(const std::function<bool()>& condition) {
@@ -98,7 +101,7 @@
     const std::string address = leaderAddress();
     return address.empty() ? nullptr : machines_.at(address).replica.get();
   }
-  /// @return the address of the replica that leads; empty: none does.
+  /// @return the address of the leader; empty if there is none.
   std::string leaderAddress() {
     for (auto& [address, machine] : machines_) {
       if (machine.replica && machine.replica->leads()) {
@@ -107,7 +110,7 @@
     }
     return "";
   }
-  /// Stores through whoever leads, again until it is acknowledged.
+  /// Stores a configuration through the current leader and retries until it is acknowledged.
   bool store(uint64_t version) {
     bool stored = false;
     bool pending = false;
@@ -126,7 +129,8 @@
       return stored;
     });
   }
-  /// Orders through whoever leads, again until it is acknowledged.
+  /// Orders an evacuation or its end through the current leader and retries until it is
+  /// acknowledged.
   bool order(const std::string& zone, bool begin) {
     bool stored = false;
     bool pending = false;
@@ -142,13 +146,15 @@
       return stored;
     });
   }
-  /// @return the zones that the leader holds for evacuated, confirmed by a majority.
+  /// @return the evacuated zones, read from the leader after a majority confirmed it.
   std::vector<std::string> evacuated() {
     REQUIRE(read().size() > 0);
     GroupReplica* leading = leader();
     REQUIRE(leading != nullptr);
     return relay::evacuatedZoneNames(leading->evacuations());
   }
+  /// @return the configuration document, read through the current leader; retries until it
+  /// succeeds.
   std::string read() {
     std::string document;
     bool pending = false;
@@ -223,6 +229,7 @@
   std::set<std::string> cut_off_;
 };
 
+/// Starts the initial replicas a, b and c and stores version 1.
 inline void startFirst(Group& group) {
   group.start("a", 11, true);
   group.start("b", 12, true);
--- a/tests/unit/daemon/group/group_replica_test.cc
+++ b/tests/unit/daemon/group/group_replica_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// The group of replicas: forming, storing and reading, a lost disk, a lost machine.
+/// Tests of group replicas: forming a group, storing and reading, membership changes, and failures
+/// of disks, processes, machines and links.
 #include <algorithm>
 #include <string>
 #include <vector>
@@ -19,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("Three first replicas form a group that stores, reads and keeps the highest version") {
+TEST_CASE("Three initial replicas form a group that stores, reads and keeps the highest version") {
   Group group;
   startFirst(group);
   CHECK(group.members() == std::set<std::string>{"a", "b", "c"});
@@ -28,7 +29,7 @@
   CHECK(group.read() == "v9");
 }
 
-TEST_CASE("All replicas killed at once come back with what was acknowledged") {
+TEST_CASE("Acknowledged configurations survive a restart of all replicas") {
   Group group;
   startFirst(group);
   REQUIRE(group.store(20));
@@ -41,7 +42,7 @@
   CHECK(group.read() == "v20");
 }
 
-TEST_CASE("A replica whose disk is lost takes its own place again by itself") {
+TEST_CASE("A replica that lost its disk rejoins and becomes a voter without an operator") {
   Group group;
   startFirst(group);
   group.kill("b");
@@ -49,14 +50,14 @@
   group.start("b", 99, false);
   REQUIRE(group.runUntil([&] { return group.at("b").stored().version() == 1; }));
   REQUIRE(group.store(2));
-  // Only with the new identity as a voter is there a majority without "a".
+  // Without "a", a majority requires that the new identity of "b" is a voter.
   REQUIRE(group.runUntil([&] { return group.at("b").votes(); }));
   group.kill("a");
   CHECK(group.store(3));
   CHECK(group.read() == "v3");
 }
 
-TEST_CASE("A replica at a new address replaces the one that is gone") {
+TEST_CASE("A replica at a new address replaces a failed voter") {
   Group group;
   startFirst(group);
   group.kill("c");
@@ -66,7 +67,7 @@
   REQUIRE(group.runUntil([&] { return group.at("d").stored().version() == 5; }));
 }
 
-TEST_CASE("A replica at a new address takes nobody's place while all are there") {
+TEST_CASE("A replica at a new address replaces no voter while all voters are alive") {
   Group group;
   startFirst(group);
   group.start("d", 44, false);
@@ -77,7 +78,7 @@
   }
 }
 
-TEST_CASE("Replicas beyond the first three become voters, and two of five may be lost") {
+TEST_CASE("Replicas beyond the initial three become voters, and five tolerate two failures") {
   Group group(5);
   startFirst(group);
   group.start("d", 44, true);
@@ -91,7 +92,7 @@
   CHECK(group.read() == "v3");
 }
 
-TEST_CASE("Two of five lose their disks while the others lose power: what was acknowledged stays") {
+TEST_CASE("Acknowledged configurations survive a restart of five replicas, two with lost disks") {
   Group group(5);
   startFirst(group);
   group.start("d", 44, true);
@@ -111,7 +112,7 @@
   CHECK(group.store(8));
 }
 
-TEST_CASE("A leader whose disk is full gives its place to another, and comes back") {
+TEST_CASE("A leader whose disk is full loses leadership and catches up once writes succeed") {
   Group group;
   startFirst(group);
   const std::string full = group.leaderAddress();
@@ -123,11 +124,11 @@
   REQUIRE(group.runUntil([&] { return group.at(full).stored().version() == 2; }));
 }
 
-TEST_CASE("Evacuations survive the loss of all processes and of a disk right after the answer") {
+TEST_CASE("Evacuations survive a restart of all replicas and a lost disk") {
   using Zones = std::vector<std::string>;
   Group group;
   startFirst(group);
-  // More orders than entries between two snapshots.
+  // More orders than log entries between two snapshots.
   for (int i = 0; i < 6; ++i) {
     REQUIRE(group.order("south", i % 2 == 0));
   }
@@ -141,7 +142,7 @@
   group.start("c", 13, false);
   CHECK(group.evacuated() == Zones{"north"});
   REQUIRE(group.runUntil([&] { return group.at("b").evacuations().zones_size() == 1; }));
-  // The replica that lost its disk is a voter again: it and one other are a majority.
+  // The replica that lost its disk must be a voter again, so that it forms a majority with "c".
   REQUIRE(group.runUntil([&] { return group.at("b").votes(); }));
   REQUIRE(group.order("west", true));
   group.kill("a");
@@ -152,8 +153,7 @@
   CHECK(group.read() == "v1");
 }
 
-TEST_CASE(
-    "An order of a leader without a majority is not acknowledged, and gives way to the others'") {
+TEST_CASE("An order at a leader without a majority is not acknowledged and is overwritten") {
   Group group;
   startFirst(group);
   const std::string cut = group.leaderAddress();
@@ -172,12 +172,11 @@
   CHECK(outcomes.front() == kNotLeader);
 }
 
-TEST_CASE(
-    "A leader that slept gives, confirms and acknowledges nothing before it was heard again") {
+TEST_CASE("A suspended leader accepts no order and confirms no read until a majority answers") {
   Group group;
   startFirst(group);
   const std::string leading = group.leaderAddress();
-  // Longer than an election takes: the others may follow another leader by now.
+  // Longer than an election, so that the others may have elected another leader.
   group.cutOff(leading, true);
   group.sleep(leading, 3000);
   CHECK_FALSE(group.at(leading).leads());
@@ -198,7 +197,7 @@
   REQUIRE(group.runUntil([&] { return group.at(leading).evacuations().zones_size() == 1; }));
 }
 
-TEST_CASE("A follower that slept catches up") {
+TEST_CASE("A follower that was suspended catches up") {
   Group group;
   startFirst(group);
   std::string suspended;
@@ -210,11 +209,11 @@
   REQUIRE(group.runUntil([&] { return group.at(suspended).evacuations().zones_size() == 1; }));
 }
 
-TEST_CASE("What waits at a replica that ends is refused, and so is what comes later") {
+TEST_CASE("A stopping replica refuses open calls and later ones") {
   Group group;
   startFirst(group);
   const std::string leading = group.leaderAddress();
-  // Without the others nothing is decided.
+  // Without a majority, the calls stay open.
   group.cutOff(leading, true);
   GroupReplica& replica = group.at(leading);
   const CallOutcome<StoreOutcome> ends = daemon::Unavailable{};
--- a/tests/unit/daemon/group/group_role_test.cc
+++ b/tests/unit/daemon/group/group_role_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The operator's orders at a group of one replica, over HTTP: evacuations begin, end, are
-/// repeated.
+/// Tests of the group role with a group of one replica: evacuation calls of operators over HTTP,
+/// and planned stops during such calls.
 #include <atomic>
 #include <chrono>
 #include <filesystem>
@@ -39,7 +39,7 @@
   Result<RunnerPage> decode(std::string_view) const override { return Error{"no list"}; }
 };
 
-/// A group of one replica on its own disk folder.
+/// A group of one replica with its own data folder.
 class OneReplica {
 public:
   OneReplica() : folder_(std::filesystem::temp_directory_path() / "workshatch-group-role-test") {
@@ -71,7 +71,7 @@
   OneReplica(const OneReplica&) = delete;
   OneReplica& operator=(const OneReplica&) = delete;
 
-  /// @return the head of the answer.
+  /// @return the whole HTTP response.
   static std::string call(const std::string& method, const std::string& path) {
     return answerTo(method + " " + path +
                         " HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n"
@@ -79,7 +79,7 @@
                     kOperatorAddress);
   }
 
-  /// Stops the role as its program does. @return whether it ended within kStopLimit.
+  /// Stops the role as the daemon does. @return whether it stopped within kStopLimit.
   bool stop() {
     std::atomic<bool> stopped{false};
     boost::asio::post(workers_.context(0), [&] { role_->stop([&] { stopped = true; }); });
@@ -88,7 +88,7 @@
     return in_time;
   }
 
-  /// Repeats the call, as operators do, until the replica has become the leader.
+  /// Repeats the call, as operators do, until the replica is the leader.
   static std::string callLeader(const std::string& method, const std::string& path) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
     std::string answer = call(method, path);
@@ -109,7 +109,7 @@
   std::unique_ptr<daemon::GroupRole> role_;
 };
 
-/// Operators that order and ask again and again, until they are told to stop.
+/// Operators that repeat evacuation calls until destruction.
 class RepeatingOperators {
 public:
   RepeatingOperators() {
@@ -149,7 +149,7 @@
   for (int seed = 1; seed <= stops; ++seed) {
     OneReplica replica;
     const RepeatingOperators operators;
-    // Some stops come before the first election, some while the replica leads.
+    // Some stops occur before the first election, some while the replica is the leader.
     constexpr uint64_t kMinRunTimeMs = 50;
     constexpr uint64_t kMaxRunTimeMs = 800;
     std::this_thread::sleep_for(
@@ -159,8 +159,7 @@
   }
 }
 
-TEST_CASE(
-    "Orders to evacuate a zone are acknowledged, repeated ones too; others are refused clearly") {
+TEST_CASE("Evacuation calls are acknowledged, also repeated ones, and invalid calls are refused") {
   const OneReplica replica;
   CHECK(OneReplica::callLeader("POST", "/evacuate/south").starts_with("HTTP/1.1 200"));
   CHECK(OneReplica::call("POST", "/evacuate/south").starts_with("HTTP/1.1 200"));
--- a/tests/unit/daemon/group/lease_service_test.cc
+++ b/tests/unit/daemon/group/lease_service_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What the leader answers to relays, over links on loopback: true confirmations, paced lists.
+/// Tests of the leader's service for relays over loopback links: confirmation of renewals and rate
+/// limit of pushed lists.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -13,7 +14,7 @@
 
 namespace workshatch::test {
 
-TEST_CASE("A renewal is confirmed by a majority that answers after it, not by an earlier lease") {
+TEST_CASE("A renewal is confirmed only by a majority that answers after it arrived") {
   Group group;
   startFirst(group);
   std::string leading = "a";
@@ -47,7 +48,8 @@
     v1::Frame frame;
     frame.mutable_renewal()->set_sequence(sequence);
     frame.mutable_renewal()->set_name("relay-1");
-    // The fixture's documents are not compressed: the relay says that it has the configuration.
+    // The fixture's documents are not compressed. The relay reports that it has the configuration,
+    // which keeps the leader from sending it.
     frame.mutable_renewal()->set_configuration_version(1);
     relay->send(frame);
   };
@@ -55,7 +57,7 @@
   REQUIRE(group.runUntil([&] { return !replies.empty(); }));
   CHECK(replies[0].confirmed());
   CHECK(replies[0].sequence() == 1);
-  // The others are gone; what they answered before counts for nothing.
+  // Without the other replicas, their earlier answers must not confirm a renewal.
   for (const char* address : {"a", "b", "c"}) {
     if (address != leading) {
       group.kill(address);
@@ -71,14 +73,14 @@
   relay->close();
 }
 
-TEST_CASE("A long list reaches relays one after the other, as the leader's link bears it") {
+TEST_CASE("A large runner list is pushed to relays one by one within the bandwidth limit") {
   Group group;
   startFirst(group);
   std::string leading = "a";
   for (const char* address : {"a", "b", "c"}) {
     leading = group.at(address).leads() ? address : leading;
   }
-  // A burst of 4 KB; the list is several times that.
+  // This bandwidth allows a burst of 4 KB; the list is several times larger.
   constexpr double kLinkMbps = 1;
   constexpr int kRelays = 4;
   daemon::LeaseService service(group.context(), group.at(leading), group.clock(), kLinkMbps);
@@ -129,7 +131,7 @@
   }
   service.updateRunnerList(list);
   REQUIRE(group.runUntil([&] { return list_came_ms.size() == kRelays; }));
-  // Each of them is some 10 KB, at 87 KB a second; nobody's lease waited for it.
+  // Each copy is about 10 KB, at 87 KB/s. All leases were confirmed before the push.
   CHECK(list_came_ms.back() - list_came_ms.front() >= 150);
   for (const auto& relay : relays) {
     relay->close();
--- a/tests/unit/daemon/group/redirect_role_test.cc
+++ b/tests/unit/daemon/group/redirect_role_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The group's role on a machine without a disk.
+/// Tests of the redirect role on a machine without a disk.
 #include <memory>
 #include <string>
 
@@ -17,7 +17,7 @@
 
 constexpr const char* kOwnAddress = "127.0.0.1:18261";
 
-/// Runs the role and asks it as an operator would.
+/// Runs the role and sends operator calls to it.
 class RunningRole {
 public:
   explicit RunningRole(std::vector<std::string> seeds)
@@ -54,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("A machine without a disk sends operators to each seed in turn, never to itself") {
+TEST_CASE("A machine without a disk redirects operators to the seeds in rotation, not to itself") {
   const RunningRole role({kOwnAddress, "10.0.0.1:90", "10.0.0.2:90"});
   const std::string first = RunningRole::ask();
   CHECK(contains(first, "HTTP/1.1 307"));
@@ -63,7 +63,7 @@
   CHECK(contains(RunningRole::ask(), "Location: http://10.0.0.1:90/get?x=1\r\n"));
 }
 
-TEST_CASE("A machine without a disk that knows no replica asks operators to come back") {
+TEST_CASE("A machine without a disk that knows no replica answers 503 with Retry-After") {
   const RunningRole role({kOwnAddress});
   const std::string answer = RunningRole::ask();
   CHECK(contains(answer, "HTTP/1.1 503"));
