--- a/src/daemon/configuration_transfer.cc
+++ b/src/daemon/configuration_transfer.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr size_t kMaxDocuments = 8;
-/// Older documents are given up beyond this; the newest two are kept whatever their size.
+/// Above this total size the oldest documents are dropped; the newest two are kept at any size.
 constexpr size_t kMaxDocumentBytes = size_t{4} * 1024 * 1024;
 constexpr size_t kMinDocuments = 2;
 
@@ -37,7 +37,7 @@
     return;
   }
   Result<std::string> document = unpackConfiguration(stored);
-  // Only what this program packed is ever stored.
+  // All stored configurations were packed by packConfiguration.
   WORKSHATCH_CHECK(!isError(document), "a stored configuration is damaged");
   documents_.push_back(
       Document{.version = stored.version(), .text = std::move(std::get<std::string>(document))});
@@ -58,7 +58,7 @@
 ConfigurationUpdateBuilder::find(uint64_t version) const {
   const auto found =
       std::find_if(documents_.begin(), documents_.end(),
-                   [version](const Document& held) { return held.version == version; });
+                   [version](const Document& document) { return document.version == version; });
   return found == documents_.end() ? nullptr : &*found;
 }
 
@@ -87,12 +87,12 @@
   return update;
 }
 
-Result<bool> ReceivedConfiguration::take(const v1::ConfigurationUpdate& update) {
+Result<bool> ReceivedConfiguration::apply(const v1::ConfigurationUpdate& update) {
   if (update.version() <= version_) {
     return false;
   }
   if (update.base_version() != 0 && update.base_version() != version_) {
-    return Error{"the update is for another version"};
+    return Error{"the base version of the update is not the current version"};
   }
   auto literals = compression::inflate(update.compressed_literals(), update.literal_bytes());
   if (isError(literals)) {
@@ -110,7 +110,7 @@
   return true;
 }
 
-void ReceivedConfiguration::forget() {
+void ReceivedConfiguration::reset() {
   version_ = 0;
   document_.clear();
 }
--- a/src/daemon/configuration_transfer.h
+++ b/src/daemon/configuration_transfer.h
@@ -1,5 +1,6 @@
 /// @file
-/// How a configuration travels from the leader to the relays: as a patch, compressed.
+/// Packs stored configurations, and builds and applies the compressed patches by which the leader
+/// sends configurations to the relays.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +14,24 @@
 
 namespace workshatch::daemon {
 
-/// A configuration as it is stored: with its document compressed, since each copy crosses links and
-/// disks of small machines.
+/// Builds the stored form of a configuration. The document is compressed because every copy uses
+/// the network and the disks of small machines.
 v1::StoredConfiguration packConfiguration(uint64_t version, std::string_view document);
 
-/// @return the document of a stored configuration, or an error when it is damaged.
+/// @return the uncompressed document, or an error if the stored configuration is damaged.
 Result<std::string> unpackConfiguration(const v1::StoredConfiguration& stored);
 
-/// Makes the updates that relays are sent. Remembers the newest documents, so that a relay that
-/// holds one of them is sent the difference only. Not safe for concurrent use.
+/// Builds the configuration updates for relays. Keeps the most recent documents, so that a relay
+/// that has one of them receives only the difference. Not safe for concurrent use.
 class ConfigurationUpdateBuilder {
 public:
-  /// Takes the newest configuration.
+  /// Adds a configuration; ignored unless its version is higher than that of all earlier ones.
   void add(const v1::StoredConfiguration& stored);
 
-  /// @param base_version what the receiver holds; zero: nothing
-  /// @return the update to the newest configuration; valid until the next `add`. Made once for each
-  /// base.
+  /// Builds the update to the newest configuration, once per base version.
+  /// @param base_version version that the receiver has; zero if it has none
+  /// @return the update; valid until the next `add`. It contains the whole document if the base
+  /// version is not kept any more.
   const v1::ConfigurationUpdate& updateFrom(uint64_t base_version);
 
 private:
@@ -42,26 +44,27 @@
   const Document* find(uint64_t version) const;
   void dropOldest();
 
-  /// By rising version.
+  /// In ascending order of version.
   std::deque<Document> documents_;
   size_t bytes_ = 0;
   /// Updates to the newest document, by base version.
   std::map<uint64_t, v1::ConfigurationUpdate> updates_;
 };
 
-/// The document that a relay holds. Not safe for concurrent use.
+/// The configuration document that a relay received last. Not safe for concurrent use.
 class ReceivedConfiguration {
 public:
-  /// Version zero: none has arrived.
+  /// Zero if no document has been received.
   uint64_t version() const { return version_; }
   const std::string& document() const { return document_; }
 
-  /// @return whether the document is newer now; an error when the update does not fit what is held:
-  /// then the whole document is needed.
-  Result<bool> take(const v1::ConfigurationUpdate& update);
+  /// Applies an update.
+  /// @return whether the document changed: false if the update is not newer. An error if the update
+  /// does not apply to the current document; the caller then needs the whole document.
+  Result<bool> apply(const v1::ConfigurationUpdate& update);
 
-  /// Gives up what is held, so that the whole document is asked for.
-  void forget();
+  /// Discards the document, so that the next update contains the whole one.
+  void reset();
 
 private:
   uint64_t version_ = 0;
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,5 +1,6 @@
 /// @file
-/// workshatchd: the daemon. Its settings turn the router role, the control role, or both on.
+/// Entry point of workshatchd, the daemon, which runs the router role, the control role or both,
+/// depending on its settings.
 #include <cstdio>
 #include <cstdlib>
 #include <optional>
@@ -38,14 +39,14 @@
   return kExitFailure;
 }
 
-/// Ends the process and unwinds nothing: what was cut off midway, and a thread that waits for a
-/// disk that hangs, still use the roles.
+/// Exits without destroying the roles, since interrupted operations and a thread that is blocked on
+/// a hanging disk may still use them.
 [[noreturn]] void endProcess(int exit_code) {
   logging::finish();
   std::_Exit(exit_code);
 }
 
-/// Runs until a stop is asked for.
+/// Runs the configured roles until a stop signal arrives.
 [[noreturn]] void runDaemon(const v1::Settings& settings) {
   logging::initialize(settings.name());
   const SystemClock clock;
@@ -86,7 +87,7 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  // From the first moment, so that a stop that comes while the daemon starts is a planned one.
+  // Blocked before anything else, so that a signal during startup also leads to a planned stop.
   blockStopSignals();
   parseProgramFlags(&argc, &argv, kUsage, "daemon/main.cc");
   const std::string path = FLAGS_check_config.empty() ? FLAGS_config : FLAGS_check_config;
--- a/src/daemon/open_calls.cc
+++ b/src/daemon/open_calls.cc
@@ -15,7 +15,7 @@
 }
 
 bool OpenCalls::State::answer(uint64_t id) {
-  // What the refusal holds is destroyed after the lock is released.
+  // Declared before the lock, so that objects captured by the refusal are destroyed after unlock.
   Refusal unused;
   const std::lock_guard lock(mutex_);
   const auto found = open_.find(id);
--- a/src/daemon/open_calls.h
+++ b/src/daemon/open_calls.h
@@ -1,5 +1,5 @@
 /// @file
-/// Calls that a replica has taken in: each is answered, or refused when the replica can't.
+/// Tracks the calls that a replica has accepted and ensures that each is answered or refused once.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,8 @@
 
 namespace workshatch::daemon {
 
-/// In place of a reply: the replica ends, or its disk refuses writes. The caller asks another one.
+/// Outcome of a call that the replica refuses because it is stopping or its disk rejects writes.
+/// The caller should try another replica.
 struct Unavailable {
   bool operator==(const Unavailable&) const = default;
 };
@@ -22,25 +23,26 @@
 template <typename Reply> using CallCallback = std::function<void(CallOutcome<Reply>)>;
 template <typename Reply> using ReplyCallback = std::function<void(Reply)>;
 
-/// Calls since the start of the process; `accepted` is the sum of the others and of those still
-/// open.
+/// Numbers of calls since the start of the process. The first count is the sum of the other two and
+/// of the calls that are still open.
 struct CallCounts {
   uint64_t accepted = 0;
   uint64_t answered = 0;
-  /// Taken in and ended with Unavailable.
+  /// Calls whose outcome was Unavailable.
   uint64_t refused = 0;
 };
 
-/// Gives every call exactly one outcome, wherever its reply is waited for: in an inbox, behind a
-/// write to the disk, or at other replicas. A call that nobody answered would keep its caller until
-/// the caller's own deadline, and a server that waits for its calls from ending.
+/// Gives every call exactly one outcome, no matter whether its reply depends on an inbox, on a disk
+/// write or on other replicas. An unanswered call would block its caller until the caller's own
+/// deadline, and would block the shutdown of a server that waits for its calls.
 ///
 /// Safe for concurrent use. Callbacks run without a lock, on the thread that answers or refuses.
 class OpenCalls {
 public:
-  /// Takes a call in; after `refuseAll` or `end`, refuses it at once on the calling thread.
-  /// @return the way to answer. The first answer counts; one after the refusal does nothing. May
-  /// outlive this object.
+  /// Registers a call. After `refuseAll` or `end` the call is refused at once, on the calling
+  /// thread.
+  /// @return the function that answers the call. Only its first use has an effect, and none once
+  /// the call has been refused. It may outlive this object.
   template <typename Reply> ReplyCallback<Reply> accept(CallCallback<Reply> done) {
     const auto shared = std::make_shared<CallCallback<Reply>>(std::move(done));
     const std::optional<uint64_t> id = state_->open([shared] { (*shared)(Unavailable{}); });
@@ -55,11 +57,11 @@
     };
   }
 
-  /// Refuses all calls that are open and all that come, until `resumeAccepting`.
+  /// Refuses all open calls, and all new ones until `resumeAccepting`.
   void refuseAll() { state_->refuseAll(Phase::Refusing); }
-  /// Does nothing after `end`.
+  /// Accepts calls again after `refuseAll`. Has no effect after `end`.
   void resumeAccepting() { state_->resumeAccepting(); }
-  /// Refuses all calls that are open and all that come, for good.
+  /// Refuses all open calls and all new ones permanently.
   void end() { state_->refuseAll(Phase::Ended); }
 
   CallCounts counts() const { return state_->counts(); }
@@ -68,12 +70,12 @@
   using Refusal = std::function<void()>;
   enum class Phase { Accepting, Refusing, Ended };
 
-  /// Shared with the ways to answer.
+  /// State that is shared with the functions that answer calls.
   class State {
   public:
-    /// @return the call's number; nothing while calls are refused.
+    /// @return the id of the call; nullopt while calls are refused.
     std::optional<uint64_t> open(Refusal refusal);
-    /// @return whether the call was open until now.
+    /// Closes a call. @return whether it was still open, so that the answer is to be delivered.
     bool answer(uint64_t id);
     void refuseAll(Phase phase);
     void resumeAccepting();
@@ -81,7 +83,7 @@
 
   private:
     mutable std::mutex mutex_;
-    // All below is guarded by mutex_.
+    // The members below are guarded by mutex_.
     Phase phase_ = Phase::Accepting;
     uint64_t next_id_ = 1;
     std::unordered_map<uint64_t, Refusal> open_;
--- a/src/daemon/relay_adapters.h
+++ b/src/daemon/relay_adapters.h
@@ -1,5 +1,5 @@
 /// @file
-/// The formats of the outside world that the relay and group roles are given.
+/// The adapters of the platform's formats that the relay and group roles depend on.
 #pragma once
 
 #include "ports/configuration_codec.h"
@@ -8,7 +8,7 @@
 
 namespace workshatch::daemon {
 
-/// Adapters of one outside interface; they outlive the roles.
+/// The adapters of one platform. Not owned; they must outlive the roles.
 struct RelayAdapters {
   const RelayDialect& dialect;
   const ConfigurationCodec& configurations;
--- a/src/daemon/role.h
+++ b/src/daemon/role.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a program needs of the role that it runs.
+/// Interface between a program and the role that its process runs.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace workshatch::daemon {
 
-/// One role of a process. Lives on the first worker's event loop, on which all methods run.
+/// One role of a process. All methods run on the first worker's event loop.
 class Role {
 public:
   Role() = default;
@@ -18,11 +18,12 @@
   Role& operator=(const Role&) = delete;
   virtual ~Role() = default;
 
-  /// Opens the addresses that the role serves.
+  /// Starts the role and opens its listening addresses.
+  /// @return an error if an address can't be opened.
   virtual Result<std::monostate> start() = 0;
-  /// Begins a planned stop; `stopped` is called once when it is over.
+  /// Begins a planned stop. Calls `stopped` exactly once, when the stop is complete.
   virtual void stop(std::function<void()> stopped) = 0;
-  /// Takes over settings that may change while the process runs.
+  /// Applies those settings that may change while the process runs.
   virtual void reload(const settings::RelaySettings& settings) = 0;
 };
 
--- a/src/daemon/role_factory.h
+++ b/src/daemon/role_factory.h
@@ -1,5 +1,5 @@
 /// @file
-/// Makes the role that a process was started for.
+/// Creates the role that a process runs, by its name on the command line.
 #pragma once
 
 #include <memory>
@@ -16,9 +16,10 @@
 inline constexpr std::string_view kRelayRole = "relay";
 inline constexpr std::string_view kGroupRole = "group";
 
-/// @param name `kRelayRole` or `kGroupRole`. On a machine without a data folder the group's role is
-/// to send operators to the replicas, since a replica without a disk could forget its vote.
-/// @return null for any other name. Workers, clock and adapters outlive the role.
+/// Creates a role. Workers, clock and adapters must outlive it.
+/// @param name `kRelayRole` or `kGroupRole`. Without a data folder, the group role only redirects
+/// operators to the replicas: a replica without a disk could lose its vote and vote twice.
+/// @return the role; null if the name is unknown.
 std::unique_ptr<Role> makeRole(std::string_view name, const settings::RelaySettings& settings,
                                WorkerPool& workers, const Clock& clock,
                                const RelayAdapters& adapters);
--- a/src/daemon/runner_list_reader.cc
+++ b/src/daemon/runner_list_reader.cc
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds kReadTimeout{700};
 constexpr size_t kMaxPageBytes = size_t{4} * 1024 * 1024;
 constexpr size_t kMaxPages = 1000;
-/// A time that was mistyped or garbled must not leave the fleet without a list for long.
+/// Bounds a requested backoff, so that a wrong value can't leave the fleet without a list for long.
 constexpr uint32_t kMaxBackoffMs = 30'000;
 
 } // namespace
@@ -41,7 +41,7 @@
   co_return codec_.decode(std::get<std::string>(body));
 }
 
-/// Takes the time for which the platform wants no calls from this process.
+/// Starts a backoff if the response requests one.
 void RunnerListReader::recordBackoff(const http::ClientAnswer& answer) {
   const auto asked_ms = http::backoffAskedMs(answer);
   if (!asked_ms) {
@@ -52,7 +52,7 @@
   backoff_.extend(std::min(*asked_ms, kMaxBackoffMs), clock_.monotonicMs());
 }
 
-/// Writes a line when other entries are rejected than at the reading before.
+/// Logs the numbers of rejected entries if they differ from those of the previous read.
 void RunnerListReader::recordRejected(const RejectedEntries& rejected) {
   if (rejected == rejected_) {
     return;
@@ -70,17 +70,17 @@
   RejectedEntries rejected;
   std::string page;
   if (backoff_.isActive(clock_.monotonicMs())) {
-    co_return Error{"the platform asked for no calls"};
+    co_return Error{"the backoff that the platform requested is still in effect"};
   }
   for (size_t pages = 1; pages <= kMaxPages; ++pages) {
     Result<RunnerPage> read = co_await readPage(page);
     if (isError(read)) {
       co_return errorOf(read);
     }
-    RunnerPage& part = std::get<RunnerPage>(read);
-    list.mutable_runners()->MergeFrom(part.runners.runners());
-    rejected += part.rejected;
-    page = part.next_page;
+    RunnerPage& decoded = std::get<RunnerPage>(read);
+    list.mutable_runners()->MergeFrom(decoded.runners.runners());
+    rejected += decoded.rejected;
+    page = decoded.next_page;
     if (page.empty()) {
       pages_ = pages;
       rejected.duplicate += relay::dropDuplicates(list);
@@ -88,7 +88,7 @@
       co_return list;
     }
   }
-  co_return Error{"the list does not end"};
+  co_return Error{"the list has too many pages"};
 }
 
 } // namespace workshatch::daemon
--- a/src/daemon/runner_list_reader.h
+++ b/src/daemon/runner_list_reader.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads the list of runners from the platform.
+/// Reads the list of runners from the platform's HTTP interface, page by page.
 #pragma once
 
 #include <functional>
@@ -16,21 +16,23 @@
 
 namespace workshatch::daemon {
 
-/// Reads all pages of the list. Lives on one event loop.
+/// Reads the list of runners and observes the backoffs that the platform requests. Lives on one
+/// event loop; not safe for concurrent use.
 class RunnerListReader {
 public:
   RunnerListReader(boost::asio::io_context& context, const Clock& clock, std::string address,
                    const RunnerListCodec& codec)
       : client_(context), clock_(clock), address_(std::move(address)), codec_(codec) {}
 
-  /// Asks for nothing while the platform has told when to come back.
-  /// @return the whole list without a version, or an error: no answer, too many calls, not a list.
+  /// Reads all pages. Makes no call during a backoff that the platform requested.
+  /// @return the complete list, without a version. An error if a backoff is in effect, a call
+  /// fails, a page can't be decoded or there are too many pages.
   http::awaitable<Result<v1::RunnerList>> read();
 
-  /// Calls that the last whole reading took; one before the first.
+  /// Number of calls that the last complete read needed; 1 before the first one.
   size_t pages() const { return pages_; }
 
-  /// Entries of the last whole reading that name no runner.
+  /// Entries that the last complete read ignored because they describe no valid runner.
   const RejectedEntries& rejected() const { return rejected_; }
 
 private:
@@ -40,7 +42,7 @@
 
   http::Client client_;
   const Clock& clock_;
-  /// The platform asked for no calls.
+  /// The last backoff that the platform requested.
   Backoff backoff_;
   const std::string address_;
   const RunnerListCodec& codec_;
--- a/src/daemon/server_limits.h
+++ b/src/daemon/server_limits.h
@@ -1,5 +1,5 @@
 /// @file
-/// Limits and refusals that the servers of several roles have in common.
+/// HTTP server limits and error responses shared by the roles.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,8 @@
 
 namespace workshatch::daemon {
 
-/// Limits for operators: a whole configuration in one request, sent from anywhere.
+/// Limits for calls of operators, who send whole configurations in one request, possibly over slow
+/// links.
 inline http::ServerLimits operatorLimits() {
   constexpr uint64_t kBodyBytes = uint64_t{16} * 1024 * 1024;
   constexpr std::chrono::milliseconds kReadTimeout{10'000};
@@ -21,7 +22,7 @@
   return limits;
 }
 
-/// Limits for calls without a body: readiness, addresses, metrics.
+/// Limits for calls that need no body: readiness, addresses and metrics.
 inline http::ServerLimits smallLimits() {
   constexpr uint64_t kBodyBytes = 4096;
   http::ServerLimits limits;
@@ -29,7 +30,7 @@
   return limits;
 }
 
-/// The answer to a request that the server itself refuses.
+/// Builds the response to a request that the HTTP server rejects.
 inline http::Response refuseBadRequest(http::Status status, const std::string& reason) {
   return http::makeProblem(
       http::Problem{.status = status, .code = "bad_request", .detail = reason});
