--- a/src/daemon/relay/active_request.cc
+++ b/src/daemon/relay/active_request.cc
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
-/// Part of the objective for which a request waits for a place. A caller that is refused by then
-/// can still be served in time elsewhere or later.
+/// Maximum wait for a slot, as a fraction of the latency objective. A caller that is refused after
+/// this wait can still be served in time elsewhere or later.
 constexpr double kMaxWaitFraction = 0.2;
-/// After so many runners that declined, the service is taken to be full.
+/// Number of declined attempts after which the whole service is considered full.
 constexpr uint32_t kMaxDeclines = 3;
 
 } // namespace
@@ -24,7 +24,7 @@
     : context_(context), state_(state), exchange_(exchange), request_(std::move(request)),
       deadline_(context), wait_(context) {}
 
-void ActiveRequest::end() {
+void ActiveRequest::interrupt() {
   wait_.cancel();
   if (connection_) {
     connection_->close();
@@ -38,7 +38,7 @@
     const auto self = weak.lock();
     if (!failure && self) {
       self->timed_out_ = true;
-      self->end();
+      self->interrupt();
     }
   });
 }
@@ -46,14 +46,14 @@
 void ActiveRequest::checkDeadline() {
   if (!interrupted() && state_.clock.monotonicMs() >= request_.deadline_ms) {
     timed_out_ = true;
-    end();
+    interrupt();
   }
 }
 
 void ActiveRequest::cancelIfQuarantined() {
   if (inQuarantine() && !stream_started_) {
     quarantine_cancelled_ = true;
-    end();
+    interrupt();
   }
 }
 
@@ -64,11 +64,11 @@
   exchange_.onHangUp([weak = weak_from_this()] {
     if (const auto run = weak.lock()) {
       run->caller_left_ = true;
-      run->end();
+      run->interrupt();
     }
   });
   state_.budget.recordRequest(request_.service, request_.received_ms);
-  // A request that ended its runners would end the next one too, with all that runs beside it.
+  // A quarantined request would crash the next runner too, and fail all other requests there.
   while (!interrupted() && !blocked()) {
     const auto chosen = co_await findSlot();
     if (interrupted()) {
@@ -85,7 +85,7 @@
     }
     recordChoice(*choice);
     if (queue_position_.number != 0) {
-      // Where there was one place, there may be another for the next in line.
+      // A service that had one free slot may have another one for the next queued request.
       state_.queue.wakeNext(request_.service);
     }
     last_end_ = co_await attempt(*choice);
@@ -131,20 +131,20 @@
   return state_.slot_client && state_.policy.place_owners;
 }
 
-/// Chooses runners until one has a place, by its owner where owners are asked.
+/// Chooses runners until one has a free slot. Where slot owners are used, the owner decides.
 http::awaitable<std::variant<relay::RunnerChoice, relay::NoRunner>> ActiveRequest::findSlot() {
   refused_in_search_ = 0;
   takeTrial();
   auto chosen = chooseRunner();
   while (!interrupted()) {
     const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
-    const bool placed = choice != nullptr && (!usesSlotOwners() || co_await claimSlot(*choice));
-    if (placed || (choice == nullptr && !trial_)) {
+    const bool has_slot = choice != nullptr && (!usesSlotOwners() || co_await claimSlot(*choice));
+    if (has_slot || (choice == nullptr && !trial_)) {
       break;
     }
     slots_refused_ += choice == nullptr ? 0 : 1;
     if (trial_) {
-      // A version on trial that has no room must not cost the request its place at the others.
+      // A full version on trial must not prevent the request from being sent to another version.
       returnUnusedTrial();
     } else {
       ++refused_in_search_;
@@ -154,24 +154,25 @@
   co_return chosen;
 }
 
-/// @return whether the request may be sent to the runner.
+/// Claims a slot at the runner. @return whether the request may be sent there.
 http::awaitable<bool> ActiveRequest::claimSlot(const relay::RunnerChoice& choice) {
   const uint64_t runner = choice.runner->fingerprint;
   if (stream_started_) {
     slot_ = state_.slot_client->takeWithoutClaim(runner);
     co_return true;
   }
-  const int64_t asked_ms = state_.clock.monotonicMs();
-  const uint32_t cold_ms = state_.runners.coldMs(*choice.runner, asked_ms);
+  const int64_t now_ms = state_.clock.monotonicMs();
+  const uint32_t cold_ms = state_.runners.coldMs(*choice.runner, now_ms);
   SlotClaimResult reply = co_await state_.slot_client->claim(runner, choice.limit, cold_ms);
   if (reply.verdict == SlotVerdict::Unanswered) {
-    // Without the owner what the sums tell must do; they tell nothing of a cold runner's pace.
+    // Falls back to the load totals. They contain nothing about the pace of a cold runner, so a
+    // cold runner is not used.
     ++unanswered_claims_;
     const bool fits = cold_ms == 0 && choice.runner->load() < choice.limit;
     slot_ = fits ? state_.slot_client->takeWithoutClaim(runner) : SlotGuard();
     co_return fits;
   }
-  slot_ = std::move(reply.place);
+  slot_ = std::move(reply.slot);
   state_.runners.recordLoad(*choice.runner, reply.load);
   if (reply.wait_ms != 0) {
     ++slots_held_back_;
@@ -180,32 +181,33 @@
   co_return reply.verdict == SlotVerdict::Granted;
 }
 
-/// A request that has not waited yet does not overtake those that do.
+/// Chooses a runner, unless the request is new and must not overtake queued requests of the same or
+/// a higher priority.
 std::variant<relay::RunnerChoice, relay::NoRunner> ActiveRequest::chooseRunner() {
-  const bool newcomer =
+  const bool is_new_request =
       state_.policy.waiting_line && queue_position_.number == 0 && sent_attempts_ == 0;
-  if (newcomer && state_.queue.hasRequestAhead(request_.service, request_.rank.priority)) {
+  if (is_new_request && state_.queue.hasRequestAhead(request_.service, request_.rank.priority)) {
     return relay::NoRunner::AllFull;
   }
   return state_.runners.choose(runnerRequest());
 }
 
-/// Waits for a place at some runner.
-/// @return whether to choose again; otherwise the request is to be refused.
+/// Waits in the queue for a slot at any runner of the service.
+/// @return whether to choose a runner again; otherwise the request is to be refused.
 http::awaitable<bool> ActiveRequest::waitForSlot() {
-  const auto part_ms = static_cast<int64_t>(kMaxWaitFraction * request_.route->objective_ms);
-  const int64_t left_ms = request_.received_ms + part_ms - state_.clock.monotonicMs();
+  const auto max_wait_ms = static_cast<int64_t>(kMaxWaitFraction * request_.route->objective_ms);
+  const int64_t left_ms = request_.received_ms + max_wait_ms - state_.clock.monotonicMs();
   if (left_ms <= 0 || !state_.policy.waiting_line) {
     co_return false;
   }
   if (queue_position_.number == 0) {
     queue_position_ = state_.queue.newPosition(request_.rank.priority, request_.deadline_ms);
   }
-  bool called = false;
+  bool woken = false;
   wait_.expires_after(std::chrono::milliseconds(left_ms));
   const bool joined = state_.queue.enqueue(
-      request_.service, queue_position_, [this, &called](relay::RequestQueues::WakeReason call) {
-        called = call == relay::RequestQueues::WakeReason::SlotMayBeFree;
+      request_.service, queue_position_, [this, &woken](relay::RequestQueues::WakeReason reason) {
+        woken = reason == relay::RequestQueues::WakeReason::SlotMayBeFree;
         wait_.cancel();
       });
   if (!joined) {
@@ -214,10 +216,11 @@
   co_await wait_.async_wait(kAwait);
   state_.queue.remove(request_.service, queue_position_);
   waited_until_ms_ = state_.clock.monotonicMs();
-  co_return called && !interrupted();
+  co_return woken && !interrupted();
 }
 
-/// Repeats are taken from the budget.
+/// Takes an attempt that repeats the request from the retry budget; the first attempt needs none.
+/// @return whether the attempt is allowed.
 bool ActiveRequest::takeRepeatFromBudget() {
   if (sent_attempts_ == 0) {
     return true;
--- a/src/daemon/relay/active_request.h
+++ b/src/daemon/relay/active_request.h
@@ -1,5 +1,6 @@
 /// @file
-/// Serves one request: attempts at runners, one after another, until the caller has its answer.
+/// Serves one request: makes attempts at runners, one after another, until the caller has a
+/// response.
 #pragma once
 
 #include <chrono>
@@ -21,67 +22,70 @@
 
 namespace workshatch::daemon {
 
-/// One request in progress. Lives on the relay's event loop.
+/// One request in progress. Must be owned by a shared_ptr. Lives on the relay's event loop; not
+/// safe for concurrent use.
 ///
-/// Guarantees: a request that may not be repeated is sent to no runner after one that may have run
-/// it; a refusal with 503 means that no runner has run it; only whole events reach the caller, and
-/// a stream looks complete only when its last runner ended it.
+/// Guarantees:
+/// - After a runner may have run a request that is not repeatable, no other runner receives it.
+/// - A refusal with status 503 means that no runner has run the request.
+/// - Only complete events reach the caller, and a stream is terminated properly only if its last
+///   runner did so.
 class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
 public:
   ActiveRequest(boost::asio::io_context& context, RelayState& state, http::Exchange& exchange,
                 RelayRequest request);
 
-  /// Returns once the caller has its final answer or is gone.
+  /// Serves the request. Returns when the caller has its final response or has disconnected.
   http::awaitable<void> run();
 
-  /// Ends the request if its time is over. Its timer does the same, but stands still while the
-  /// machine sleeps.
+  /// Interrupts the request if its deadline has passed. The deadline timer does the same, but does
+  /// not advance while the machine is suspended.
   void checkDeadline();
 
-  /// Takes the request back from its runner if it has come into quarantine and nothing of an answer
-  /// has come: it may wait there, and would end the runner when it begins.
+  /// Interrupts the attempt in progress if the request is in quarantine and no part of a stream has
+  /// been relayed: the request may still be queued at the runner, which would crash when it starts
+  /// the request.
   void cancelIfQuarantined();
 
 private:
-  /// How one attempt ended, as far as the next step depends on it.
+  /// Result of an attempt as far as the next step of the request depends on it.
   enum class AttemptEnd {
-    /// The caller has its whole answer.
+    /// The caller has the complete response.
     Answered,
-    /// No connection: no byte was sent.
+    /// No connection could be made; nothing was sent.
     Unreachable,
-    /// The runner said that it did not run the request.
+    /// The runner declared that it did not run the request.
     NotRun,
-    /// The runner was withdrawn before a byte was sent.
+    /// The attempt was cancelled before anything was sent.
     Withdrawn,
-    /// The request may have run; no whole answer came.
+    /// The runner may have run the request but did not give a complete response.
     Broken,
   };
 
-  /// How an attempt ended for the request and for what is known of the runner.
+  /// Result of an attempt for the request and for the state of the runner.
   struct AttemptResult {
     AttemptEnd end = AttemptEnd::Unreachable;
     relay::AttemptOutcome outcome = relay::AttemptOutcome::Unreachable;
-    /// The runner ended the connection while the request was in progress.
+    /// The runner closed the connection while the request was in progress.
     bool closed_by_runner = false;
   };
 
   enum class ConnectOutcome {
     Connected,
-    /// Nobody listens at the runner's address.
+    /// Nothing listens at the runner's address.
     Refused,
-    /// No answer in time, or another error.
+    /// Timeout or any other error.
     Failed,
   };
 
-  // One attempt (relay_attempt.cc).
+  // One attempt (active_request_attempt.cc).
   http::awaitable<AttemptEnd> attempt(const relay::RunnerChoice& choice);
   http::awaitable<AttemptResult> callRunner(const relay::RunnerChoice& choice);
   http::awaitable<ConnectOutcome> connect(const relay::Runner& runner);
   http::awaitable<std::optional<http::CallError>> send(const relay::RunnerChoice& choice);
   std::optional<PrefixClient::Lookup> lookUpPrefixSource(const relay::Runner& runner);
   http::awaitable<std::shared_ptr<relay::Runner>>
-  awaitPrefixSource(std::optional<PrefixClient::Lookup> question,
-                    const relay::RunnerChoice& choice);
+  awaitPrefixSource(std::optional<PrefixClient::Lookup> lookup, const relay::RunnerChoice& choice);
   relay::PromptTarget promptTarget(const relay::Runner& runner) const;
   AttemptResult broken(std::string error);
   AttemptResult brokenBy(const http::CallError& error);
@@ -93,7 +97,7 @@
   void applyNotice(relay::Runner& runner);
   void recordBackoffAtSend(const relay::Runner& runner);
 
-  // The answer to an attempt (relay_answer.cc).
+  // Handling of the runner's response to an attempt (active_request_answer.cc).
   http::awaitable<AttemptResult> handleAnswer(relay::Runner& runner);
   http::awaitable<AttemptResult> handleRefusal(relay::AttemptOutcome outcome);
   http::awaitable<AttemptResult> relayPlainAnswer();
@@ -103,19 +107,19 @@
   void abortSlowReader();
   http::Response responseHead() const;
 
-  // The request's part in a rollout (relay_trial.cc).
+  // Participation in a rollout (active_request_rollout.cc).
   void takeTrial();
   void returnUnusedTrial();
   void recordForRollout(const relay::Runner& runner, const AttemptResult& result);
 
-  // Its end (relay_outcome.cc).
+  // Final response and decision log (active_request_outcome.cc).
   http::awaitable<void> finish();
   http::awaitable<void> refuse(http::Status status, std::string code, std::string detail);
   http::awaitable<void> refuseNotRun();
   uint32_t retryAfterMs() const;
   void logOutcome(const std::string& outcome);
 
-  // The request as a whole (relay_run.cc).
+  // Main loop, choice of runners and waiting for slots (active_request.cc).
   relay::HomeRegions homeRegions() const;
   relay::RunnerRequest runnerRequest() const;
   std::variant<relay::RunnerChoice, relay::NoRunner> chooseRunner();
@@ -130,84 +134,87 @@
     return caller_left_ || timed_out_ || quarantine_cancelled_ || reader_cut_;
   }
   bool inQuarantine() const { return state_.quarantine.contains(request_.identity); }
-  /// The relay may not rely on its configuration any more: the key may have been revoked.
+  /// @return whether the request depends on a lease that has expired, so that its key may have been
+  /// revoked without the relay's knowledge.
   bool lostLease() const {
     return request_.tenant != nullptr && !state_.lease.holds(state_.clock.monotonicMs());
   }
-  /// No runner may get the request, now or later.
+  /// @return whether the request must not be sent to any runner.
   bool blocked() const { return inQuarantine() || lostLease(); }
   bool mayBeSent(const relay::Runner& runner);
   bool mayTryAgain(AttemptEnd last) const;
-  /// Runners have no room for the request now, and may have later.
+  /// @return whether the request failed because runners are temporarily full.
   bool runnersFull() const { return no_runner_ == relay::NoRunner::AllFull || declines_ > 0; }
   bool runnersBackingOff() const { return no_runner_ == relay::NoRunner::AllBackingOff; }
   void armDeadline();
-  void end();
+  void interrupt();
 
   boost::asio::io_context& context_;
   RelayState& state_;
   http::Exchange& exchange_;
   const RelayRequest request_;
   boost::asio::steady_timer deadline_;
-  /// Ends the wait for a place.
+  /// Limits the wait for a slot; cancelled when the wait ends early.
   boost::asio::steady_timer wait_;
   std::shared_ptr<http::RunnerConnection> connection_;
 
-  /// The caller has closed its connection.
+  /// The caller has closed its connection or can't be written to.
   bool caller_left_ = false;
   bool timed_out_ = false;
-  /// The caller read too slowly, and others needed the memory.
+  /// The request was aborted because its caller read too slowly and the memory bound was reached.
   bool reader_cut_ = false;
-  /// Counts what is held for the caller; zero: nothing was yet.
+  /// Id in the accounting of buffered bytes; zero before the stream starts.
   relay::ReadAheadBudget::Reader reader_ = 0;
-  /// It came into quarantine while a runner had it.
+  /// The request was put into quarantine while an attempt was in progress.
   bool quarantine_cancelled_ = false;
   /// A runner may have run the request.
   bool may_have_run_ = false;
   bool stream_started_ = false;
+  /// Attempts after which the runner may have run the request.
   uint32_t ran_attempts_ = 0;
-  /// Attempts that reached a runner, and those of them that the runner declined.
+  /// Attempts in which the request was sent, and those that a full runner declined.
   uint32_t sent_attempts_ = 0;
   uint32_t declines_ = 0;
-  /// Why the last search for a runner found none; nothing: it found one.
+  /// Why the last search found no runner; nullopt if it found one.
   std::optional<relay::NoRunner> no_runner_;
-  /// Place in the line; its number is zero before the request first waited.
+  /// Position in the queue; its number is zero until the request waits for the first time.
   relay::QueuePosition queue_position_;
-  /// When the last wait for a place ended.
+  /// When the last wait for a slot ended; zero if there was none.
   int64_t waited_until_ms_ = 0;
+  /// Ids of the runners that were chosen for attempts.
   std::vector<std::string> tried_;
-  /// The request is one of those that a version on trial gets; it has not been sent yet.
+  /// The request uses a trial of the version on trial and has not been sent yet.
   bool trial_ = false;
-  /// Owners that gave no place, in the present search for one and in all.
+  /// Claims for a slot that were refused, in the current search and in all searches.
   uint32_t refused_in_search_ = 0;
   uint32_t slots_refused_ = 0;
-  /// Owners that gave no place since the runner was cold or its zone evacuated.
+  /// Claims that were refused because the runner was cold or its zone evacuated.
   uint32_t slots_held_back_ = 0;
-  /// Owners that did not answer in time.
+  /// Claims that the owner did not answer in time.
   uint32_t unanswered_claims_ = 0;
-  /// The place at the runner of the present attempt.
+  /// The slot at the runner of the current attempt.
   SlotGuard slot_;
-  /// What the last choice of a runner rested on, for the log.
+  /// Inputs of the last choice of a runner, for the log.
   uint32_t load_at_choice_ = 0;
   uint32_t passed_over_ = 0;
   uint32_t slot_limit_ = 0;
   bool last_resort_ = false;
-  /// Milliseconds for which the runner wanted no requests when it was chosen, and when the request
-  /// was sent.
+  /// Remaining backoff of the runner when it was chosen and when the request was sent.
   int64_t backoff_at_choice_ms_ = 0;
   int64_t backoff_at_send_ms_ = 0;
-  /// What the answer of the present attempt says of its runner.
+  /// What the current attempt's runner reported about itself in its response headers.
   relay::RunnerNotice notice_;
+  /// Id of the last prefix source, for the log; empty if there was none.
   std::string prefix_source_id_;
-  /// From which runner the present attempt's runner takes parts; null: from none.
+  /// Runner from which the current attempt's runner copies the prompt prefix; null if none.
   std::shared_ptr<relay::Runner> prefix_source_;
   std::string last_event_id_;
-  /// When the present attempt was sent; zero: it was not.
+  /// When the request was sent in the current attempt; zero if it was not.
   int64_t sent_ms_ = 0;
   int64_t first_event_ms_ = 0;
   int64_t last_event_ms_ = 0;
   uint32_t events_ = 0;
-  /// The last failure that a runner answered itself, for the caller when nothing better comes.
+  /// The last error response of a runner, relayed to the caller if no other attempt succeeds.
   std::optional<http::Response> failure_;
   std::string last_error_;
   AttemptEnd last_end_ = AttemptEnd::Unreachable;
--- a/src/daemon/relay/active_request_answer.cc
+++ b/src/daemon/relay/active_request_answer.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The answer of a runner to one attempt, and its way to the caller.
+/// Handling of a runner's response to one attempt, and its relaying to the caller.
 #include <algorithm>
 #include <array>
 #include <utility>
@@ -14,14 +14,14 @@
 
 namespace {
 
-/// The rest of an answer that declines is read for so long, to keep the connection.
+/// Timeout for reading the rest of a refusal, which allows the connection to be reused.
 constexpr std::chrono::milliseconds kRefusalReadTimeout{300};
 constexpr size_t kMaxPlainBytes = size_t{16} * 1024 * 1024;
 constexpr unsigned kServerErrors = 500;
 
 bool isSuccess(unsigned status) { return status >= 200 && status < 300; }
 
-/// Headers of a runner's answer that concern its connection only.
+/// @return whether the header concerns only the connection to the runner (hop-by-hop).
 bool isConnectionHeader(http::Field name) {
   constexpr std::array<http::Field, 7> kNames = {
       http::Field::connection,      http::Field::keep_alive,     http::Field::transfer_encoding,
@@ -32,18 +32,19 @@
 
 } // namespace
 
-/// The runner did not run the request. The rest of its answer is read only to keep the connection.
+/// Handles a response which declares that the runner did not run the request. Reads the rest of it
+/// only to keep the connection reusable.
 http::awaitable<ActiveRequest::AttemptResult>
 ActiveRequest::handleRefusal(relay::AttemptOutcome outcome) {
   last_error_ = "declined with " + std::to_string(connection_->head().result_int());
   std::string rest = "-";
   while (!rest.empty()) {
-    auto part = co_await connection_->read(kRefusalReadTimeout);
-    if (std::holds_alternative<http::CallError>(part)) {
+    auto chunk = co_await connection_->read(kRefusalReadTimeout);
+    if (std::holds_alternative<http::CallError>(chunk)) {
       connection_->close();
       break;
     }
-    rest = std::get<std::string>(part);
+    rest = std::get<std::string>(chunk);
   }
   co_return AttemptResult{.end = AttemptEnd::NotRun, .outcome = outcome};
 }
@@ -55,8 +56,9 @@
   const auto id = http::fieldOf(head, names.request_id);
   const bool not_run = http::fieldOf(head, names.not_run).has_value();
   if (id && *id != request_.id) {
-    // A late second answer to an earlier request: nothing that follows can be trusted.
-    co_return broken("answer of another request");
+    // A late duplicate answer to an earlier request. No later data on this connection can be
+    // attributed to a request reliably.
+    co_return broken("the response has the id of another request");
   }
   if (head.result() == http::Status::misdirected_request) {
     co_return co_await handleRefusal(relay::AttemptOutcome::Misdirected);
@@ -66,7 +68,7 @@
   }
   const bool signed_answer = http::fieldOf(head, names.signature).has_value();
   if (isSuccess(status) && (!signed_answer || !id)) {
-    co_return broken("success without signature");
+    co_return broken("successful response without a signature or a request id");
   }
   const std::string_view type = http::viewOf(head[http::Field::content_type]);
   const bool streaming = request_.route->kind == relay::RouteKind::Streaming && isSuccess(status) &&
@@ -75,7 +77,7 @@
     co_return co_await relayStream(runner);
   }
   if (stream_started_) {
-    co_return broken("no stream to go on with: " + std::to_string(status));
+    co_return broken("no stream to resume: status " + std::to_string(status));
   }
   co_return co_await relayPlainAnswer();
 }
@@ -99,11 +101,11 @@
   http::Response response = responseHead();
   std::string body;
   while (true) {
-    auto part = co_await connection_->read(silenceTimeout(false));
-    if (const auto* error = std::get_if<http::CallError>(&part)) {
+    auto chunk = co_await connection_->read(silenceTimeout(false));
+    if (const auto* error = std::get_if<http::CallError>(&chunk)) {
       co_return brokenBy(*error);
     }
-    const std::string& text = std::get<std::string>(part);
+    const std::string& text = std::get<std::string>(chunk);
     if (text.empty()) {
       break;
     }
@@ -116,7 +118,7 @@
   response.prepare_payload();
   const unsigned status = response.result_int();
   if (status >= kServerErrors) {
-    // A whole answer: the connection stays in use.
+    // The response is complete, so the connection stays open for reuse.
     last_error_ = "status " + std::to_string(status);
     failure_ = std::move(response);
     co_return AttemptResult{.end = AttemptEnd::Broken, .outcome = relay::AttemptOutcome::Failed};
@@ -154,7 +156,7 @@
   co_return exchange_.keepsUp();
 }
 
-/// Counts what is held for the caller from now on.
+/// Starts the accounting of the bytes that are buffered for the caller.
 void ActiveRequest::trackReader() {
   reader_ = state_.read_ahead.open([weak = weak_from_this()] {
     if (const auto run = weak.lock()) {
@@ -169,7 +171,7 @@
   });
 }
 
-/// Ends the request: the memory that its caller's unread answer takes is needed for others.
+/// Aborts the request to free the memory of its caller's unread response for other callers.
 void ActiveRequest::abortSlowReader() {
   line_log::write("reader_cut", {{"request", request_.id},
                                  {"held_bytes", exchange_.bufferedBytes()},
@@ -178,17 +180,17 @@
                                  {"readers", state_.read_ahead.readers()}});
   reader_cut_ = true;
   exchange_.abort();
-  end();
+  interrupt();
 }
 
 http::awaitable<ActiveRequest::AttemptResult> ActiveRequest::relayStream(relay::Runner& runner) {
   relay::EventSplitter splitter;
   while (true) {
-    auto part = co_await connection_->read(silenceTimeout(true));
-    if (const auto* error = std::get_if<http::CallError>(&part)) {
+    auto chunk = co_await connection_->read(silenceTimeout(true));
+    if (const auto* error = std::get_if<http::CallError>(&chunk)) {
       co_return brokenBy(*error);
     }
-    const std::string& text = std::get<std::string>(part);
+    const std::string& text = std::get<std::string>(chunk);
     if (text.empty()) {
       break;
     }
@@ -206,7 +208,7 @@
     }
   }
   if (splitter.hasPartialEvent() || !stream_started_) {
-    co_return broken("the stream ended within an event");
+    co_return broken("the stream ended before or within an event");
   }
   co_await exchange_.finish();
   co_return AttemptResult{.end = AttemptEnd::Answered, .outcome = relay::AttemptOutcome::Succeeded};
--- a/src/daemon/relay/active_request_attempt.cc
+++ b/src/daemon/relay/active_request_attempt.cc
@@ -1,5 +1,5 @@
 /// @file
-/// One attempt of a request: a connection to a runner, the send, and what the end of it shows.
+/// One attempt of a request at a runner: connecting, sending, and recording the result.
 #include <algorithm>
 #include <utility>
 
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kConnectTimeout{300};
-/// A repeatable request leaves a runner that is silent for this many objectives.
+/// A repeatable request is sent to another runner if its runner sends nothing for this multiple of
+/// the latency objective, with the minimum below.
 constexpr int64_t kSilenceTimeoutObjectives = 2;
 constexpr int64_t kMinSilenceTimeoutMs = 400;
 constexpr std::chrono::milliseconds kStreamSilenceTimeout{1500};
@@ -44,13 +45,14 @@
   state_.runners.recordActivity(runner, state_.clock.monotonicMs());
 }
 
-/// Takes what the head of an answer says of the runner and of further requests to it.
+/// Processes what the headers of an answer report about the runner and about further requests to
+/// it.
 void ActiveRequest::applyNotice(relay::Runner& runner) {
   const auto& head = connection_->head();
   notice_ = state_.dialect.parseRunnerNotice(
       ResponseHead{.status = head.result_int(),
                    .field = [&head](std::string_view name) { return http::fieldOf(head, name); }});
-  state_.stats.note(notice_);
+  state_.stats.recordNotice(notice_);
   state_.runners.applyNotice(runner, notice_, state_.clock.monotonicMs());
 }
 
@@ -94,7 +96,7 @@
   co_return error->refused ? ConnectOutcome::Refused : ConnectOutcome::Failed;
 }
 
-/// Records how the attempt ended: at the runner, in the counters and in the log.
+/// Records the result of the attempt in the runner's state, in the counters and in the log.
 void ActiveRequest::recordAttemptEnd(relay::Runner& runner, const AttemptResult& result) {
   if (result.end == AttemptEnd::Broken || result.end == AttemptEnd::Answered) {
     may_have_run_ = true;
@@ -133,7 +135,7 @@
   }
 }
 
-/// Keeps the connection for another request, or closes it.
+/// Returns the connection to the pool if it is reusable; closes it otherwise.
 void ActiveRequest::releaseConnection(const relay::Runner& runner) {
   if (connection_ && connection_->reusable()) {
     state_.connections.give(runner.entry.address(), connection_);
@@ -148,7 +150,7 @@
   if (sent_attempts_++ == 0) {
     state_.runners.rollouts().recordSent(request_.service);
   }
-  // Sent: it counts for the version on trial, however it ends.
+  // The trial is used up by the send, whatever the result of the attempt.
   trial_ = false;
   sent_ms_ = state_.clock.monotonicMs();
   const int64_t remaining_ms = request_.deadline_ms - state_.clock.monotonicMs();
@@ -172,33 +174,37 @@
                              .parent_copy_us = copyUs(request_.parent_tokens)};
 }
 
-/// Asks who keeps parts of the prompt; the answer comes while a connection is made.
+/// Starts the lookup of a source for the prompt's prefix, which runs while the connection is made.
+/// @return the lookup; nullopt if the prompt has no prefix or lookups are disabled.
 std::optional<PrefixClient::Lookup> ActiveRequest::lookUpPrefixSource(const relay::Runner& runner) {
-  const bool asks = request_.cache_key != 0 && state_.prefix_client &&
-                    state_.policy.part_directory && state_.policy.fetch_cached_parts;
-  return asks ? std::optional(state_.prefix_client->lookUpSource(promptTarget(runner)))
-              : std::nullopt;
+  const bool enabled = request_.cache_key != 0 && state_.prefix_client &&
+                       state_.policy.part_directory && state_.policy.fetch_cached_parts;
+  return enabled ? std::optional(state_.prefix_client->lookUpSource(promptTarget(runner)))
+                 : std::nullopt;
 }
 
-/// @return the runner that the directory names; without its word the one that this relay guesses.
+/// Completes the lookup of a prefix source. Without an answer from the directory, guesses the
+/// source from the relay's own tables.
+/// @return the source; null if there is none, or none in the permitted regions.
 http::awaitable<std::shared_ptr<relay::Runner>>
-ActiveRequest::awaitPrefixSource(std::optional<PrefixClient::Lookup> question,
+ActiveRequest::awaitPrefixSource(std::optional<PrefixClient::Lookup> lookup,
                                  const relay::RunnerChoice& choice) {
-  std::optional<relay::PrefixSource> told;
-  if (question) {
-    told = co_await question->answer();
+  std::optional<relay::PrefixSource> answer;
+  if (lookup) {
+    answer = co_await lookup->answer();
   }
-  if (!told || !told->known) {
+  if (!answer || !answer->known) {
     co_return state_.runners.likelyPrefixSource(runnerRequest(), *choice.runner);
   }
-  const auto source = state_.runners.find(told->runner);
+  const auto source = state_.runners.find(answer->runner);
   const bool allowed = source != nullptr && state_.runners.isHome(homeRegions(), *source);
   co_return allowed ? source : nullptr;
 }
 
-/// @return whether nothing has come, since the place was taken, that keeps the request from the
-/// runner: an order, the runner's own word, the end of the caller's patience, or of the lease while
-/// the machine slept.
+/// Repeats the checks that may have changed since the runner was chosen: orders of operators,
+/// notices of the runner, and the deadline and the lease, which may have expired while the machine
+/// was suspended.
+/// @return whether the request may still be sent to the runner.
 bool ActiveRequest::mayBeSent(const relay::Runner& runner) {
   checkDeadline();
   if (runner.evacuated) {
@@ -210,11 +216,11 @@
     return false;
   }
   if (relay::RunnerTable::isBackingOff(runner, state_.clock.monotonicMs())) {
-    last_error_ = "runner asked for a backoff";
+    last_error_ = "runner requested a backoff";
     return false;
   }
   if (!state_.runners.isAdmittedByRollout(runner, trial_)) {
-    last_error_ = "version held back by a rollout";
+    last_error_ = "version not admitted by the rollout";
     return false;
   }
   if (inQuarantine()) {
@@ -222,7 +228,7 @@
     return false;
   }
   if (lostLease()) {
-    last_error_ = "lease lost";
+    last_error_ = "lease expired";
     return false;
   }
   return !interrupted();
@@ -231,7 +237,7 @@
 http::awaitable<ActiveRequest::AttemptResult>
 ActiveRequest::callRunner(const relay::RunnerChoice& choice) {
   relay::Runner& runner = *choice.runner;
-  auto question = lookUpPrefixSource(runner);
+  auto lookup = lookUpPrefixSource(runner);
   const ConnectOutcome connected = co_await connect(runner);
   if (connected != ConnectOutcome::Connected || interrupted()) {
     const bool gone = connected == ConnectOutcome::Refused;
@@ -239,9 +245,9 @@
                             .outcome = gone ? relay::AttemptOutcome::ProcessGone
                                             : relay::AttemptOutcome::Unreachable};
   }
-  prefix_source_ = co_await awaitPrefixSource(std::move(question), choice);
+  prefix_source_ = co_await awaitPrefixSource(std::move(lookup), choice);
   prefix_source_id_ = prefix_source_ ? prefix_source_->entry.id() : "";
-  // Nothing is waited for between here and the send.
+  // There must be no suspension point between this check and the send.
   if (!mayBeSent(runner)) {
     co_return AttemptResult{.end = AttemptEnd::Withdrawn,
                             .outcome = relay::AttemptOutcome::Withdrawn};
@@ -280,22 +286,24 @@
   co_return result.end;
 }
 
-/// The runner may have run the request and gave no whole answer; its connection is of no more use.
+/// Ends an attempt in which the runner may have run the request without a complete response. Closes
+/// the connection, which is not reusable.
 ActiveRequest::AttemptResult ActiveRequest::broken(std::string error) {
   last_error_ = std::move(error);
   connection_->close();
   return AttemptResult{.end = AttemptEnd::Broken, .outcome = relay::AttemptOutcome::Failed};
 }
 
-/// As `broken`, by what the connection tells.
+/// Same as `broken`, for an error of the connection.
 ActiveRequest::AttemptResult ActiveRequest::brokenBy(const http::CallError& error) {
   const bool by_runner = !error.timed_out && !interrupted();
-  AttemptResult result = broken(error.timed_out ? "silent" : error.message);
+  AttemptResult result =
+      broken(error.timed_out ? "no data within the silence timeout" : error.message);
   result.closed_by_runner = by_runner;
   return result;
 }
 
-/// Takes what the attempt shows of a request that may have ended its runner.
+/// Records whether the attempt is evidence that the request crashed its runner, or that it did not.
 void ActiveRequest::recordForQuarantine(const relay::Runner& runner, const AttemptResult& result) {
   if (!state_.crash_reporter) {
     return;
--- a/src/daemon/relay/active_request_outcome.cc
+++ b/src/daemon/relay/active_request_outcome.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The end of a request: what its caller is told, and the line that tells how it went.
+/// The end of a request: the final response to its caller, and its entry in the decision log.
 #include <algorithm>
 #include <utility>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// When no runner answers: about as long as another takes to be found or started again.
+/// Retry delay when no runner is available: about the time until another one is found or restarted.
 constexpr uint32_t kRetryWithoutRunnerMs = 150;
 
 } // namespace
@@ -45,7 +45,8 @@
   if (!runnersBackingOff()) {
     return paced_ms;
   }
-  // Runners back off from one relay at a time: the caller may be served by another before.
+  // A runner requests a backoff from each relay separately, so another relay may serve the caller
+  // earlier.
   const int64_t backoff_ms = state_.runners.backoffLeftMs(request_.service, now_ms);
   return static_cast<uint32_t>(std::clamp<int64_t>(backoff_ms, 1, paced_ms));
 }
@@ -65,7 +66,7 @@
     co_return;
   }
   if (stream_started_) {
-    // What came whole is the caller's, also when nothing follows.
+    // The caller gets all complete events before the connection is aborted.
     co_await exchange_.drained(0);
     logOutcome(timed_out_ ? "stream_timed_out" : "stream_broken");
     exchange_.breakOff();
@@ -101,7 +102,7 @@
   co_await refuse(http::Status::bad_gateway, "broken", "the runner gave no whole answer");
 }
 
-/// No runner has run the request, and none can now.
+/// Refuses a request that no runner has run and none can take now.
 http::awaitable<void> ActiveRequest::refuseNotRun() {
   std::string code = "no_runner";
   std::string detail = "no runner could take the request";
--- a/src/daemon/relay/active_request_rollout.cc
+++ b/src/daemon/relay/active_request_rollout.cc
@@ -1,6 +1,6 @@
 /// @file
-/// A request's part in a rollout: whether the version on trial gets it, and what its end tells of
-/// the version that it ran on.
+/// Participation of a request in a rollout: whether the version on trial gets it, and the recording
+/// of its outcome for the version on which it ran.
 #include <utility>
 
 #include "core/relay/group_state.h"
@@ -8,8 +8,8 @@
 
 namespace workshatch::daemon {
 
-/// Only a first send counts towards a version on trial, and only while this relay would learn at
-/// once that it was rolled back.
+/// Takes a trial if the rollout grants one. Only first sends use trials, and only while the lease
+/// is fresh, so that the relay would receive a rollback without delay.
 void ActiveRequest::takeTrial() {
   if (trial_ || sent_attempts_ != 0 || stream_started_) {
     return;
@@ -18,33 +18,35 @@
            state_.runners.rollouts().takeTrial(request_.service);
 }
 
-/// Gives back a trial that was not sent.
+/// Returns a trial that was taken but not used for a send.
 void ActiveRequest::returnUnusedTrial() {
   if (std::exchange(trial_, false)) {
     state_.runners.rollouts().returnTrial(request_.service);
   }
 }
 
-/// Takes what an attempt tells of the runner's version.
+/// Records the outcome of an attempt for the version of its runner, while a rollout is in progress.
+/// Counts only attempts that were answered, or that failed without the caller's disconnection or a
+/// quarantine as the cause.
 void ActiveRequest::recordForRollout(const relay::Runner& runner, const AttemptResult& result) {
   const v1::Rollout* rollout = state_.runners.rollouts().findRollout(request_.service);
   const bool withdrawn = caller_left_ || quarantine_cancelled_;
-  const bool told =
+  const bool conclusive =
       result.end == AttemptEnd::Answered || (result.end == AttemptEnd::Broken && !withdrawn);
-  if (rollout == nullptr || !relay::isInProgress(*rollout) || sent_ms_ == 0 || !told) {
+  if (rollout == nullptr || !relay::isInProgress(*rollout) || sent_ms_ == 0 || !conclusive) {
     return;
   }
   relay::VersionOutcome outcome{.route = request_.route->name,
                                 .target = runner.entry.version() == rollout->target_version(),
                                 .failed = result.end != AttemptEnd::Answered};
   const int64_t now_ms = state_.clock.monotonicMs();
-  const bool whole_here = !outcome.failed && ran_attempts_ == 0;
-  if (whole_here && stream_started_) {
+  const bool completed_at_first_attempt = !outcome.failed && ran_attempts_ == 0;
+  if (completed_at_first_attempt && stream_started_) {
     outcome.first_ms = static_cast<double>(first_event_ms_ - sent_ms_);
     if (events_ > 1) {
       outcome.step_ms = static_cast<double>(last_event_ms_ - first_event_ms_) / (events_ - 1);
     }
-  } else if (whole_here) {
+  } else if (completed_at_first_attempt) {
     outcome.step_ms = static_cast<double>(now_ms - sent_ms_);
   }
   state_.rollout_outcomes.record(rollout->id(), outcome);
--- a/src/daemon/relay/control_link.cc
+++ b/src/daemon/relay/control_link.cc
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// Without a confirmed lease the leader is sought more often.
+/// Period of the steps while no leader has confirmed a renewal; shorter than the renewal period.
 constexpr std::chrono::milliseconds kLeaderSearchPeriod{80};
-/// A link on which nothing comes for so long, or for so many periods, is given up.
+/// A link is closed when nothing is received on it for the longer of this time and this number of
+/// renewal periods.
 constexpr int64_t kSilenceTimeoutMs = 800;
 constexpr int64_t kSilenceTimeoutPeriods = 3;
-/// Attempts to reach a replica between two steps.
+/// Maximum number of connection attempts between two steps.
 constexpr uint32_t kDialsPerStep = 3;
-/// A replica that knows no leader is left after so many answers.
+/// The link is closed after this many replies of a replica that knows no leader.
 constexpr uint32_t kMaxUnconfirmed = 2;
 
 } // namespace
@@ -74,7 +75,8 @@
   renew();
 }
 
-/// A large frame may take longer to arrive than a link may be silent.
+/// Counts received bytes instead of frames, since receiving one large frame may take longer than
+/// the silence timeout.
 void ControlLink::recordActivity() {
   const uint64_t bytes = link_->bytesReceived();
   if (std::exchange(last_received_bytes_, bytes) != bytes) {
@@ -123,7 +125,8 @@
 }
 
 void ControlLink::dialNext() {
-  // Addresses that refuse at once, and replicas that each name the other, must not make a loop.
+  // Prevents a busy loop when addresses refuse connections immediately or when two replicas each
+  // name the other one as the leader.
   if (dials_left_ == 0) {
     return;
   }
@@ -163,7 +166,7 @@
   }
 }
 
-/// A replica that had known no leader knows one now.
+/// Handles the announcement of a leader by a replica that knew none before.
 void ControlLink::onLeaderAnnounced(const std::string& address) {
   if (address == link_address_) {
     renew();
@@ -194,8 +197,8 @@
     unconfirmed_ = 0;
     confirmed_ = true;
     if (reply.renew_period_ms() != 0) {
-      const int64_t told_ms = reply.renew_period_ms();
-      renew_period_ = std::chrono::milliseconds(std::min(told_ms, relay::kMaxRenewalPeriodMs));
+      const int64_t requested_ms = reply.renew_period_ms();
+      renew_period_ = std::chrono::milliseconds(std::min(requested_ms, relay::kMaxRenewalPeriodMs));
     }
     on_reply_(reply);
     return;
--- a/src/daemon/relay/control_link.h
+++ b/src/daemon/relay/control_link.h
@@ -1,5 +1,5 @@
 /// @file
-/// A relay's link to the leader of the group.
+/// A relay's connection to the group's leader, on which it renews its lease.
 #pragma once
 
 #include <chrono>
@@ -17,28 +17,30 @@
 
 namespace workshatch::daemon {
 
-/// Finds the leader among the group's members, keeps one link to it and renews the lease on it.
-/// Lives on one event loop; not safe for concurrent use.
+/// Finds the leader among the group's members, keeps one link to it and sends lease renewals on it
+/// periodically. Lives on one event loop; not safe for concurrent use.
 class ControlLink {
 public:
-  /// Makes the next renewal, with its sequence number. @param first_on_link nothing was told on the
-  /// present link before, so that the replica there may know nothing of this relay.
+  /// Builds the next renewal, including its sequence number. @param first_on_link whether this is
+  /// the first renewal on the current link, so that the replica may know nothing of this relay.
   using RenewalSource = std::function<v1::LeaseRenewal(bool first_on_link)>;
   using ReplyHandler = std::function<void(const v1::LeaseReply&)>;
 
-  /// @param seeds addresses for frames of some replicas
+  /// @param seeds link addresses of some replicas, tried until the group's members are known
+  /// @param make_renewal called for each renewal
+  /// @param on_reply called with each reply of the leader
   ControlLink(boost::asio::io_context& context, const Clock& clock, std::vector<std::string> seeds,
               RenewalSource make_renewal, ReplyHandler on_reply);
 
   void start();
   void stop();
-  /// Renews at once, for what can't wait for the next period.
+  /// Sends a renewal immediately, for reports that can't wait until the end of the period.
   void renewNow();
-  /// Gives the present link up and seeks the leader anew.
+  /// Closes the current link; the search for the leader starts again with the next step.
   void reconnect();
   void setSeeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
 
-  /// Bytes of frames to and from the leaders, over all links so far.
+  /// Bytes of frames exchanged with leaders, on all links since the start.
   struct Traffic {
     uint64_t sent = 0;
     uint64_t received = 0;
@@ -67,22 +69,23 @@
   link::LinkDialer dialer_;
   bool dialing_ = false;
   std::shared_ptr<link::FramedLink> link_;
-  /// As the leader told it last.
+  /// Renewal period from the last reply of the leader.
   std::chrono::milliseconds renew_period_{250};
   std::string link_address_;
   std::string hinted_leader_;
   size_t candidate_ = 0;
-  /// When bytes last came on the link, or the link began.
+  /// When bytes were last received on the link, or when it was opened.
   int64_t last_activity_ms_ = 0;
   uint64_t last_received_bytes_ = 0;
-  /// Traffic of the links before the present one.
+  /// Traffic of all previous links.
   Traffic earlier_traffic_;
+  /// Unconfirmed replies in a row on the current link.
   uint32_t unconfirmed_ = 0;
-  /// Attempts that may still be made before the next step.
+  /// Connection attempts that are still allowed before the next step.
   uint32_t dials_left_ = 0;
-  /// Nothing was sent on the present link yet.
+  /// Whether no renewal was sent on the current link yet.
   bool first_on_link_ = true;
-  /// The present link leads to a leader.
+  /// Whether the replica at the other end of the current link has confirmed that it is the leader.
   bool confirmed_ = false;
 };
 
--- a/src/daemon/relay/lease_wait.h
+++ b/src/daemon/relay/lease_wait.h
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that came to a relay before its first lease and wait for it.
+/// Delays requests that arrive before the relay's first lease until the lease is granted.
 #pragma once
 
 #include <chrono>
@@ -12,25 +12,28 @@
 
 namespace workshatch::daemon {
 
-/// Lives on the relay's event loop.
+/// Lets coroutines wait for the first lease. Lives on the relay's event loop; not safe for
+/// concurrent use.
 ///
-/// Guarantee: at most `kMaxWaiting` wait; each is woken by the lease or by its own limit.
+/// Guarantee: at most `kMaxWaiting` coroutines wait; each resumes when the lease is granted or its
+/// own timeout expires.
 class LeaseWait {
 public:
   explicit LeaseWait(boost::asio::io_context& context) : context_(context) {}
 
-  /// Returns when the lease has come or `longest` is over; at once when too many wait already.
+  /// Returns after `wakeAll` or after `longest`, whichever is first; immediately if the maximum
+  /// number of coroutines waits already.
   boost::asio::awaitable<void> wait(std::chrono::milliseconds longest);
-  /// The lease has come.
+  /// Resumes all waiting coroutines; to be called when the lease is granted.
   void wakeAll();
 
 private:
-  /// Bounds memory: twice the requests of a whole site of ten relays (250 a second) in the 600 ms
-  /// for which a first lease is waited for.
+  /// Bounds memory. Twice the number of requests that a site of ten relays receives (250 per
+  /// second) during the 600 ms for which requests wait for a first lease.
   static constexpr size_t kMaxWaiting = 300;
 
   boost::asio::io_context& context_;
-  /// Timers of those that wait; each lives in its coroutine.
+  /// Timers of the waiting coroutines; each is owned by its coroutine.
   std::set<boost::asio::steady_timer*> waiting_;
 };
 
--- a/src/daemon/relay/prefix_client.cc
+++ b/src/daemon/relay/prefix_client.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What was not used for long is looked for so often.
+/// Period of the search for entries to remove.
 constexpr int64_t kExpiryPeriodMs = 2000;
 
 } // namespace
@@ -22,9 +22,9 @@
                     answerLookup(frame.part_question(), from);
                   });
   peers_->onFrame(v1::Frame::kPartNotSent, [this](const v1::Frame& frame, const std::string&) {
-    const v1::PartNotSent& told = frame.part_not_sent();
+    const v1::PartNotSent& report = frame.part_not_sent();
     directory_.recordNotDelivered(relay::PromptTarget{
-        .prefix = told.part(), .parent = told.parent(), .runner = told.runner()});
+        .prefix = report.part(), .parent = report.parent(), .runner = report.runner()});
   });
   peers_->onAnswer(v1::Frame::kPartAnswer,
                    [](const v1::Frame& frame) { return frame.part_answer().sequence(); });
@@ -37,14 +37,14 @@
 }
 
 PrefixClient::Lookup PrefixClient::lookUpSource(const relay::PromptTarget& prompt) {
-  Lookup asked(*this);
-  const std::string* counting = peers_->ownerOf(prompt.group());
-  if (counting == nullptr || peers_->isSilent(*counting)) {
-    return asked;
+  Lookup lookup(*this);
+  const std::string* owner = peers_->ownerOf(prompt.group());
+  if (owner == nullptr || peers_->isSilent(*owner)) {
+    return lookup;
   }
-  if (*counting == peers_->ownAddress()) {
-    asked.own_ = directory_.sourceFor(prompt, usable_, clock_.monotonicMs());
-    return asked;
+  if (*owner == peers_->ownAddress()) {
+    lookup.local_answer_ = directory_.sourceFor(prompt, usable_, clock_.monotonicMs());
+    return lookup;
   }
   v1::Frame frame;
   v1::PartQuestion& question = *frame.mutable_part_question();
@@ -54,14 +54,14 @@
   question.set_runner(prompt.runner);
   question.set_part_copy_us(prompt.part_copy_us);
   question.set_parent_copy_us(prompt.parent_copy_us);
-  asked.call_ = std::make_unique<PeerCall>(
-      peers_, *counting, AnswerKey{.kind = v1::Frame::kPartAnswer, .sequence = sequence_}, frame);
-  return asked;
+  lookup.call_ = std::make_unique<PeerCall>(
+      peers_, *owner, AnswerKey{.kind = v1::Frame::kPartAnswer, .sequence = sequence_}, frame);
+  return lookup;
 }
 
 asio::awaitable<std::optional<relay::PrefixSource>> PrefixClient::Lookup::answer() {
-  if (own_) {
-    co_return client_.count(*own_);
+  if (local_answer_) {
+    co_return client_.count(*local_answer_);
   }
   const v1::Frame* answer = nullptr;
   if (call_) {
@@ -85,20 +85,20 @@
 }
 
 void PrefixClient::reportNotSent(const relay::PromptTarget& prompt) {
-  const std::string* counting = peers_->ownerOf(prompt.group());
-  if (counting == nullptr) {
+  const std::string* owner = peers_->ownerOf(prompt.group());
+  if (owner == nullptr) {
     return;
   }
-  if (*counting == peers_->ownAddress()) {
+  if (*owner == peers_->ownAddress()) {
     directory_.recordNotDelivered(prompt);
     return;
   }
   v1::Frame frame;
-  v1::PartNotSent& told = *frame.mutable_part_not_sent();
-  told.set_part(prompt.prefix);
-  told.set_parent(prompt.parent);
-  told.set_runner(prompt.runner);
-  peers_->send(*counting, frame);
+  v1::PartNotSent& report = *frame.mutable_part_not_sent();
+  report.set_part(prompt.prefix);
+  report.set_parent(prompt.parent);
+  report.set_runner(prompt.runner);
+  peers_->send(*owner, frame);
 }
 
 void PrefixClient::answerLookup(const v1::PartQuestion& question, const std::string& from) {
@@ -119,8 +119,8 @@
 
 void PrefixClient::tick() {
   const int64_t now_ms = clock_.monotonicMs();
-  if (now_ms >= stale_due_ms_) {
-    stale_due_ms_ = now_ms + kExpiryPeriodMs;
+  if (now_ms >= next_expiry_ms_) {
+    next_expiry_ms_ = now_ms + kExpiryPeriodMs;
     directory_.dropStale(now_ms);
   }
 }
--- a/src/daemon/relay/prefix_client.h
+++ b/src/daemon/relay/prefix_client.h
@@ -1,5 +1,6 @@
 /// @file
-/// Sources of the parts of prompts, asked of the relay that counts who keeps them.
+/// Looks up, in a directory that is distributed over the relays, from which runner a prompt's
+/// prefix can be copied.
 #pragma once
 
 #include <cstdint>
@@ -16,24 +17,25 @@
 
 namespace workshatch::daemon {
 
-/// Asks for sources, and answers other relays from the directory of the parts that this relay
-/// counts. Lives on the relay's event loop; not safe for concurrent use.
+/// Looks up prefix sources at the relay that owns the prefix, and answers the lookups of other
+/// relays from this relay's own part of the directory. Lives on the relay's event loop; not safe
+/// for concurrent use.
 class PrefixClient {
 public:
-  /// Figures since the start.
+  /// Totals since the start of the process.
   struct Counts {
-    /// Questions of this relay, by what the answer was.
+    /// Lookups of this relay by result.
     uint64_t source_named = 0;
     uint64_t no_source = 0;
-    /// The relay that was asked could not say yet.
+    /// The owner has not tracked the prefix for long enough to know.
     uint64_t unknown = 0;
     uint64_t unanswered = 0;
   };
 
-  /// A question that was asked; the answer is taken when it is needed.
+  /// A lookup in progress, whose answer can be awaited later. The client must outlive it.
   class Lookup {
   public:
-    /// @return the source; empty: nobody answered in time.
+    /// Waits for the answer. @return the source; nullopt if the owner did not answer in time.
     boost::asio::awaitable<std::optional<relay::PrefixSource>> answer();
 
   private:
@@ -42,27 +44,28 @@
     explicit Lookup(PrefixClient& client) : client_(client) {}
 
     PrefixClient& client_;
-    /// Set where this relay counts the part itself.
-    std::optional<relay::PrefixSource> own_;
+    /// The answer, if this relay owns the prefix itself.
+    std::optional<relay::PrefixSource> local_answer_;
     std::unique_ptr<PeerCall> call_;
   };
 
-  /// @param usable whether a runner can be copied from
+  /// @param usable returns whether a runner can serve as a source for copies
   PrefixClient(std::shared_ptr<RelayPeers> peers, const Clock& clock,
                relay::PrefixDirectory::Usable usable);
 
-  /// Tells that a prompt goes to its runner, and asks for a source. The client must outlive the
-  /// question.
+  /// Reports to the owner that a prompt is about to be sent to its runner, and requests a source
+  /// for its prefix.
   Lookup lookUpSource(const relay::PromptTarget& prompt);
 
-  /// Tells that a prompt of an earlier question did not reach its runner.
+  /// Reports that the prompt of an earlier lookup did not reach its runner.
   void reportNotSent(const relay::PromptTarget& prompt);
 
-  /// Drops what was not used for long. Runs often.
+  /// Removes entries that were not used for a long time. To be called often; it limits its own
+  /// rate.
   void tick();
 
   const Counts& counts() const { return counts_; }
-  /// Parts that are counted here.
+  /// Number of prefixes in this relay's part of the directory.
   size_t trackedPrefixes() const { return directory_.prefixCount(); }
 
 private:
@@ -74,7 +77,7 @@
   const relay::PrefixDirectory::Usable usable_;
   relay::PrefixDirectory directory_;
   uint64_t sequence_ = 0;
-  int64_t stale_due_ms_ = 0;
+  int64_t next_expiry_ms_ = 0;
   Counts counts_;
 };
 
--- a/src/daemon/relay/relay_lease.cc
+++ b/src/daemon/relay/relay_lease.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What the relay role tells the leader with its renewals, and takes from the answers.
+/// The lease protocol of the relay role: builds the renewals for the leader and applies its
+/// replies.
 #include <utility>
 
 #include "adapters/logging/line_log.h"
@@ -43,8 +44,9 @@
 void RelayRole::onLeaseReply(const v1::LeaseReply& reply) {
   last_group_reply_ms_ = clock_.monotonicMs();
   if (reply.has_configuration() && !applyConfiguration(reply.configuration())) {
-    // Without it a confirmation would be worth nothing; the next link brings the whole document.
-    received_.forget();
+    // A confirmation is valid only together with the configuration. On the next link the leader
+    // sends the whole document.
+    received_.reset();
     control_.reconnect();
     return;
   }
@@ -54,7 +56,7 @@
   if (reply.has_quarantine() && settings_.policy.quarantine) {
     applyQuarantine(reply.quarantine());
   }
-  // Before the list of runners, which may bring those of the version on trial.
+  // Applied before the list of runners, which may add runners of the version on trial.
   if (reply.has_rollouts()) {
     applyRollouts(reply.rollouts());
   }
@@ -98,9 +100,9 @@
 }
 
 void RelayRole::addRollouts(v1::LeaseRenewal& renewal) const {
-  const v1::RolloutList& held = state_.runners.rollouts().rollouts();
-  renewal.set_rollout_version(held.version());
-  for (const v1::Rollout& rollout : held.rollouts()) {
+  const v1::RolloutList& list = state_.runners.rollouts().rollouts();
+  renewal.set_rollout_version(list.version());
+  for (const v1::Rollout& rollout : list.rollouts()) {
     if (!relay::isInProgress(rollout)) {
       continue;
     }
@@ -154,19 +156,19 @@
 }
 
 bool RelayRole::applyRunners(const v1::RunnerListUpdate& update) {
-  const auto taken = state_.runners.applyUpdate(update, clock_.monotonicMs());
-  if (isError(taken)) {
+  const auto applied = state_.runners.applyUpdate(update, clock_.monotonicMs());
+  if (isError(applied)) {
     line_log::write("runner_list_update_unfit", {{"version", update.version()},
                                                  {"base", update.base_version()},
                                                  {"held", state_.runners.listVersion()},
-                                                 {"error", errorOf(taken).message}});
+                                                 {"error", errorOf(applied).message}});
     return false;
   }
   state_.queue.wakeNextOfEachService();
   return true;
 }
 
-/// @return false when the update does not fit what is held.
+/// @return false if the update does not apply to the current list.
 bool RelayRole::applyRelays(const v1::RelayListUpdate& update) {
   auto list = relay::applyUpdate(relays_, update);
   if (isError(list)) {
@@ -202,16 +204,16 @@
 }
 
 bool RelayRole::applyConfiguration(const v1::ConfigurationUpdate& update) {
-  const Result<bool> taken = received_.take(update);
-  if (isError(taken)) {
+  const Result<bool> applied = received_.apply(update);
+  if (isError(applied)) {
     line_log::write("configuration_update_unfit", {{"version", update.version()},
                                                    {"base", update.base_version()},
                                                    {"held", received_.version()},
-                                                   {"error", errorOf(taken).message}});
+                                                   {"error", errorOf(applied).message}});
     return false;
   }
   const bool newer = !state_.routes || received_.version() > state_.routes->version();
-  if (!std::get<bool>(taken) || !newer) {
+  if (!std::get<bool>(applied) || !newer) {
     return true;
   }
   auto decoded = adapters_.configurations.decode(received_.document());
--- a/src/daemon/relay/relay_metrics.cc
+++ b/src/daemon/relay/relay_metrics.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The metrics of the relay role: its counters and the gauges of its parts.
+/// The metrics endpoint of the relay role: its counters, and gauges of its components.
 #include "adapters/metrics/text_format.h"
 #include "core/relay/group_state.h"
 #include "daemon/relay/relay_role.h"
@@ -39,15 +39,15 @@
                        static_cast<int64_t>(traffic.sent));
   metrics::exposeGauge(out, "relay_control_received_bytes", "frames from the group's leaders",
                        static_cast<int64_t>(traffic.received));
-  const SlotClient::Counts& places = slot_client_->counts();
+  const SlotClient::Counts& slots = slot_client_->counts();
   metrics::exposeGauge(out, "relay_places_granted", "places that owners gave",
-                       static_cast<int64_t>(places.granted));
+                       static_cast<int64_t>(slots.granted));
   metrics::exposeGauge(out, "relay_places_refused", "claims for places that owners refused",
-                       static_cast<int64_t>(places.refused));
+                       static_cast<int64_t>(slots.refused));
   metrics::exposeGauge(out, "relay_places_unanswered", "claims that no owner answered in time",
-                       static_cast<int64_t>(places.unanswered));
+                       static_cast<int64_t>(slots.unanswered));
   metrics::exposeGauge(out, "relay_places_answered", "claims of other relays answered here",
-                       static_cast<int64_t>(places.answered));
+                       static_cast<int64_t>(slots.answered));
   const RelayPeers::Counts& peers = peers_->counts();
   metrics::exposeGauge(out, "relay_peers_sent_bytes", "datagrams sent to other relays",
                        static_cast<int64_t>(peers.sent_bytes));
@@ -57,38 +57,38 @@
                        static_cast<int64_t>(peers.unreadable));
   metrics::exposeGauge(out, "relay_peers_late_answers", "answers that came after their limit",
                        static_cast<int64_t>(peers.late_answers));
-  const PrefixClient::Counts& parts = prefix_client_->counts();
+  const PrefixClient::Counts& prefixes = prefix_client_->counts();
   metrics::exposeGauge(out, "relay_parts_source_named", "prompts for which a source was named",
-                       static_cast<int64_t>(parts.source_named));
+                       static_cast<int64_t>(prefixes.source_named));
   metrics::exposeGauge(out, "relay_parts_no_source", "prompts whose runner keeps what there is",
-                       static_cast<int64_t>(parts.no_source));
+                       static_cast<int64_t>(prefixes.no_source));
   metrics::exposeGauge(out, "relay_parts_unknown",
                        "questions that the relay asked could not answer",
-                       static_cast<int64_t>(parts.unknown));
+                       static_cast<int64_t>(prefixes.unknown));
   metrics::exposeGauge(out, "relay_parts_unanswered", "questions that nobody answered in time",
-                       static_cast<int64_t>(parts.unanswered));
+                       static_cast<int64_t>(prefixes.unanswered));
   metrics::exposeGauge(out, "relay_parts_counted", "parts of prompts that are counted here",
                        static_cast<int64_t>(prefix_client_->trackedPrefixes()));
   metrics::exposeGauge(out, "relay_places_runners", "runners whose places are counted here",
                        static_cast<int64_t>(slot_client_->ownedRunners()));
   metrics::exposeGauge(out, "relay_places_held_back",
                        "claims refused since a runner was cold or its zone evacuated",
-                       static_cast<int64_t>(places.held_back));
-  const RunnerCrashReporter::Counts& ends = crash_reporter_->counts();
+                       static_cast<int64_t>(slots.held_back));
+  const RunnerCrashReporter::Counts& crashes = crash_reporter_->counts();
   metrics::exposeGauge(out, "relay_runner_looks",
                        "connections made to see whether a runner that cut a request has ended",
-                       static_cast<int64_t>(ends.probes));
+                       static_cast<int64_t>(crashes.probes));
   metrics::exposeGauge(out, "relay_runner_looks_refused", "of these: it had",
-                       static_cast<int64_t>(ends.refused));
+                       static_cast<int64_t>(crashes.refused));
   metrics::exposeGauge(out, "relay_runner_end_reports", "reports of ended runners to the leader",
-                       static_cast<int64_t>(ends.reports));
+                       static_cast<int64_t>(crashes.reports));
   metrics::exposeGauge(out, "relay_read_ahead_bytes", "held for callers that read slowly",
                        static_cast<int64_t>(state_.read_ahead.bufferedBytes()));
   metrics::exposeGauge(out, "relay_readers_cut", "callers cut since others needed the memory",
                        static_cast<int64_t>(state_.read_ahead.cancelledReaders()));
   metrics::exposeGauge(out, "relay_work_times_told",
                        "answers with a figure of how long work takes at the runner",
-                       static_cast<int64_t>(state_.stats.work_times_told));
+                       static_cast<int64_t>(state_.stats.work_times_reported));
   metrics::exposeGauge(out, "relay_work_times_rejected", "such figures that no runner can have",
                        static_cast<int64_t>(state_.stats.work_times_rejected));
   metrics::exposeGauge(out, "relay_runner_entries_taken",
--- a/src/daemon/relay/relay_peers.cc
+++ b/src/daemon/relay/relay_peers.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// How long a question waits for its answer: some ten round trips between zones, a tenth of the
-/// shortest objective of a request.
+/// Time limit for an answer: about ten round trips between zones, and a tenth of the shortest
+/// latency objective of a request.
 constexpr std::chrono::milliseconds kAnswerTimeout{30};
 
 std::string textOf(const datagram::UdpSocket::Endpoint& endpoint) {
@@ -34,9 +34,9 @@
   for (const RelayListObserver& observer : observers_) {
     observer.before();
   }
-  const std::vector<std::string> left = owners_.setRelays(std::move(relays));
+  const std::vector<std::string> removed = owners_.setRelays(std::move(relays));
   for (const RelayListObserver& observer : observers_) {
-    observer.after(left);
+    observer.after(removed);
   }
 }
 
--- a/src/daemon/relay/relay_peers.h
+++ b/src/daemon/relay/relay_peers.h
@@ -1,5 +1,6 @@
 /// @file
-/// Datagrams between relays: questions to the relay that owns something, and their answers.
+/// Datagram transport between relays: requests to the relay that owns a runner or a prompt prefix,
+/// their answers, and one-way reports.
 #pragma once
 
 #include <chrono>
@@ -25,7 +26,8 @@
 
 class PeerCall;
 
-/// What an answer belongs to: its kind, and the number that it echoes.
+/// Identifies the call that an answer belongs to: the kind of the answer and the echoed sequence
+/// number.
 struct AnswerKey {
   v1::Frame::BodyCase kind = v1::Frame::BODY_NOT_SET;
   uint64_t sequence = 0;
@@ -35,56 +37,59 @@
   }
 };
 
-/// The relay's socket for datagrams, and the relays that own runners and parts of prompts. Lives on
-/// the relay's event loop; not safe for concurrent use.
+/// The relay's datagram socket, and the list of relays among which the ownership of runners and
+/// prompt prefixes is divided. Lives on the relay's event loop; not safe for concurrent use.
 ///
-/// Guarantee: an owner that did not answer in time is not asked again for a second, so that its
-/// silence delays few requests.
+/// An owner that did not answer in time is reported as silent for one second, during which the
+/// clients send it no requests, so that its failure delays few requests of callers.
 class RelayPeers : public std::enable_shared_from_this<RelayPeers> {
 public:
   using Handler = std::function<void(const v1::Frame& frame, const std::string& from)>;
-  /// Runs before and after the list of relays changes.
+  /// Callbacks that run before and after a change of the list of relays.
   struct RelayListObserver {
     std::function<void()> before;
-    /// @param left relays that are not in the list any more
-    std::function<void(const std::vector<std::string>& left)> after;
+    /// @param removed relays that were removed from the list
+    std::function<void(const std::vector<std::string>& removed)> after;
   };
 
-  /// Figures since the start.
+  /// Totals since the start of the process.
   struct Counts {
     uint64_t sent_bytes = 0;
     uint64_t received_bytes = 0;
-    /// Datagrams that were no frame.
+    /// Datagrams that could not be parsed or had an unexpected kind.
     uint64_t unreadable = 0;
-    /// Answers that nothing waited for any more.
+    /// Answers that arrived after their call had ended.
     uint64_t late_answers = 0;
   };
 
   RelayPeers(boost::asio::io_context& context, const Clock& clock)
       : context_(context), clock_(clock), socket_(context) {}
 
-  /// @param address "ip:port" for datagrams between relays
+  /// Opens the socket. @param address own "ip:port", by which the other relays reach this one
+  /// @return an error if the address can't be opened.
   Result<std::monostate> open(const std::string& address);
   void close() { socket_.close(); }
   const std::string& ownAddress() const { return own_address_; }
 
-  /// Sets what takes the frames of a kind that are not answers.
+  /// Sets the handler for frames of a kind that are requests or reports.
   void onFrame(v1::Frame::BodyCase kind, Handler handler) { handlers_[kind] = std::move(handler); }
-  /// Frames of this kind are answers. @param sequence reads the number that they echo
+  /// Declares that frames of a kind are answers to calls. @param sequence extracts the echoed
+  /// sequence number
   void onAnswer(v1::Frame::BodyCase kind, std::function<uint64_t(const v1::Frame&)> sequence) {
     answer_sequences_[kind] = std::move(sequence);
   }
-  /// Sets what learns of relays that did not answer in time.
+  /// Sets the callback for relays that did not answer in time.
   void onSilent(std::function<void(const std::string& relay)> handler) {
     on_silent_ = std::move(handler);
   }
   void observeRelayList(RelayListObserver observer) { observers_.push_back(std::move(observer)); }
 
-  /// Replaces the relays that own something, by their addresses for datagrams.
+  /// Replaces the list of relays. @param relays their datagram addresses
   void setRelays(std::vector<std::string> relays);
-  /// @return the address of the relay that owns what has this fingerprint; null: no relay is known.
+  /// @return the address of the relay that owns the runner or prefix with this fingerprint; null if
+  /// no relay is known.
   const std::string* ownerOf(uint64_t fingerprint) { return owners_.ownerOf(fingerprint); }
-  /// @return whether the relay did not answer within the last second.
+  /// @return whether the relay failed to answer within the last second.
   bool isSilent(const std::string& relay) const {
     return owners_.isSilent(relay, clock_.monotonicMs());
   }
@@ -107,13 +112,13 @@
   std::function<void(const std::string&)> on_silent_;
   std::map<v1::Frame::BodyCase, Handler> handlers_;
   std::map<v1::Frame::BodyCase, std::function<uint64_t(const v1::Frame&)>> answer_sequences_;
-  /// Questions that wait for their answers.
+  /// Calls that wait for their answers. Not owned; each removes itself when it is destroyed.
   std::map<AnswerKey, PeerCall*> calls_;
   Counts counts_;
 };
 
-/// A question to another relay: sent when it is made, given up when it ends. It keeps the socket
-/// alive: requests that are in progress may outlive the relay's role.
+/// A call to another relay. The constructor sends the request, the destructor abandons the call. It
+/// shares ownership of the socket, since requests in progress may outlive the relay role.
 class PeerCall {
 public:
   PeerCall(std::shared_ptr<RelayPeers> peers, std::string relay, AnswerKey key,
@@ -122,8 +127,8 @@
   PeerCall(const PeerCall&) = delete;
   PeerCall& operator=(const PeerCall&) = delete;
 
-  /// Waits for the answer, for `kAnswerTimeout` since the question was sent at most.
-  /// @return the answer, which lives as long as the call; null: none came in time.
+  /// Waits for the answer until `kAnswerTimeout` after the request was sent.
+  /// @return the answer, which is valid as long as the call; null if it did not arrive in time.
   boost::asio::awaitable<const v1::Frame*> answer();
 
 private:
--- a/src/daemon/relay/relay_request.cc
+++ b/src/daemon/relay/relay_request.cc
@@ -15,13 +15,14 @@
 
 namespace {
 
-/// Bounds of when to come back while there is no lease: a group that lost all its processes gives
-/// leases again some 150 ms after they started; a longer silence is a cut, whose end nobody knows.
+/// Bounds of the retry delay while there is no lease. A group whose processes all crashed grants
+/// leases again about 150 ms after they start. A longer silence is a network partition, whose
+/// duration is unknown.
 constexpr int64_t kMinRetryWithoutLeaseMs = 200;
 constexpr int64_t kMaxRetryWithoutLeaseMs = 1000;
 constexpr uint32_t kRetryWhileStoppingMs = 50;
 constexpr uint32_t kMaxPriority = 9;
-/// Priorities of a tenant lie this far apart, so that those of routes fit between.
+/// Distance between the priorities of tenants, which leaves room for the priorities of routes.
 constexpr uint32_t kTenantPriorityStep = 3;
 
 bool sameName(std::string_view left, std::string_view right) {
@@ -29,7 +30,8 @@
                                boost::beast::string_view(right.data(), right.size()));
 }
 
-/// Headers that concern one connection only, or that the relay sets itself.
+/// @return whether a caller's header must not be forwarded: it concerns one connection only, or the
+/// relay or the system sets it.
 bool isOwnHeader(std::string_view name, const HeaderNames& names) {
   constexpr std::array<std::string_view, 8> kConnectionHeaders = {
       "connection", "keep-alive", "transfer-encoding", "content-length",
@@ -42,7 +44,7 @@
          std::any_of(names.system_only.begin(), names.system_only.end(), same);
 }
 
-/// @return whether the Connection header names `name`.
+/// @return whether the Connection header lists `name`.
 bool namedByConnection(const http::Request& request, std::string_view name) {
   const auto connection = request.find(http::Field::connection);
   if (connection == request.end()) {
@@ -71,7 +73,8 @@
                        .request_id = id};
 }
 
-/// What has lasted for some time is taken to last for as long again.
+/// @return the retry delay: the time without a lease so far, since the rest of an outage is
+/// expected to be about as long, within bounds.
 uint32_t retryWithoutLeaseMs(const RelayState& state, int64_t now_ms) {
   const int64_t silent_ms = state.lease.unconfirmedForMs(now_ms, state.started_ms);
   return static_cast<uint32_t>(
@@ -84,12 +87,12 @@
                  retryWithoutLeaseMs(state, relayed.received_ms));
 }
 
-/// @return the milliseconds that the caller will wait; nothing: it did not say, or it can't be
-/// read.
+/// @return the caller's timeout in milliseconds; nullopt if its header is missing or can't be
+/// parsed.
 std::optional<int64_t> callerTimeoutMs(const http::Request& request, const HeaderNames& names) {
-  const auto told = http::fieldOf(request, names.deadline);
-  const auto told_ms = told ? parseMilliseconds(*told, 1) : std::nullopt;
-  return told_ms ? std::optional<int64_t>(*told_ms) : std::nullopt;
+  const auto header = http::fieldOf(request, names.deadline);
+  const auto caller_timeout_ms = header ? parseMilliseconds(*header, 1) : std::nullopt;
+  return caller_timeout_ms ? std::optional<int64_t>(*caller_timeout_ms) : std::nullopt;
 }
 
 void readPrompt(const http::Request& request, const RelayDialect& dialect, RelayRequest& relayed) {
@@ -113,10 +116,10 @@
   }
 }
 
-/// @return microseconds in which an engine copies a token to another; zero: not known.
+/// @return microseconds that an engine needs to copy one token's cache to another; zero if unknown.
 double tokenCopyUs(const relay::Service& service) {
   constexpr double kBitsPerByte = 8;
-  // A Mbit/s is a bit in a microsecond.
+  // 1 Mbit/s is 1 bit per microsecond.
   return service.engine_link_mbps > 0
              ? service.kv_token_bytes * kBitsPerByte / service.engine_link_mbps
              : 0;
@@ -130,7 +133,7 @@
 }
 
 void appendHeader(std::string& out, std::string_view name, std::string_view value) {
-  // The one place where a header for a runner is written.
+  // All headers for runners pass this check, which prevents header injection.
   if (!isHeaderName(name) || !isHeaderValue(value)) {
     return;
   }
@@ -165,7 +168,7 @@
       state.routes->findRoute(http::viewOf(request[http::Field::host]), http::pathOf(target));
   const bool lease_holds = state.lease.holds(now_ms);
   const bool lease_is_fresh = state.lease.isFresh(now_ms);
-  // With an older lease the configuration may be old: what it lacks may have been added since.
+  // If the lease is not fresh, a route that is missing here may have been added in the meantime.
   if (relayed.route == nullptr && lease_is_fresh) {
     return refusal(http::Status::not_found, "no_route", "no route for this host and path", id);
   }
@@ -189,8 +192,8 @@
   relayed.rank.draw = routing::fingerprintOf(id);
   relayed.service = relay::RouteTable::pickService(*relayed.route, relayed.rank.draw);
   const int64_t allowed_ms = relayed.route->timeout_ms;
-  const int64_t told_ms = callerTimeoutMs(request, names).value_or(allowed_ms);
-  relayed.deadline_ms = relayed.received_ms + std::min(told_ms, allowed_ms);
+  const int64_t caller_timeout_ms = callerTimeoutMs(request, names).value_or(allowed_ms);
+  relayed.deadline_ms = relayed.received_ms + std::min(caller_timeout_ms, allowed_ms);
   readPrompt(request, state.dialect, relayed);
   const relay::Service* service = state.routes->findService(relayed.service);
   relayed.engine = service != nullptr && service->model_engine;
--- a/src/daemon/relay/relay_request.h
+++ b/src/daemon/relay/relay_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// One request of a caller, checked and routed.
+/// Admission of callers' requests: validation, routing, and the request format for runners.
 #pragma once
 
 #include <cstdint>
@@ -16,61 +16,63 @@
 
 namespace workshatch::daemon {
 
-/// A request that may be sent to a runner. Times are milliseconds of the monotonic clock.
+/// An admitted request, which may be sent to a runner. Times are milliseconds of the monotonic
+/// clock.
 struct RelayRequest {
   std::shared_ptr<const relay::RouteTable> routes;
   const relay::Route* route = nullptr;
-  /// Null: the request needs no key.
+  /// Null if the request needs no key.
   const relay::Tenant* tenant = nullptr;
   std::string service;
   std::string id;
-  /// The same for each try of this request.
+  /// Equal for all requests with the same tenant, method, target and body.
   relay::RequestIdentity identity;
   int64_t received_ms = 0;
-  /// When the caller gets its final answer at the latest.
+  /// Latest time of the final response to the caller.
   int64_t deadline_ms = 0;
-  /// Fingerprint of the shared part of the prompt; zero: none.
+  /// Fingerprint of the last shared prefix block of the prompt; zero if there is none.
   uint64_t cache_key = 0;
-  /// Fingerprint of the shared part before that one; zero: none.
+  /// Fingerprint of the shared prefix block before it; zero if there is none.
   uint64_t parent_key = 0;
-  /// Tokens of the prompt up to the end of either part.
+  /// Numbers of prompt tokens up to the end of the last shared block and of the one before it.
   uint64_t cached_tokens = 0;
   uint64_t parent_tokens = 0;
-  /// Microseconds in which an engine copies a token to another; zero: not known.
+  /// Microseconds that an engine needs to copy one token's cache to another engine; zero if
+  /// unknown.
   double token_copy_us = 0;
-  /// The service's runners are model engines.
+  /// Whether the service's runners are model engines.
   bool engine = false;
-  /// Claim on a busy runner; its priority is also told to the runner.
+  /// Rank among competing requests for a busy runner. Its priority is also sent to the runner.
   relay::RequestRank rank;
 
-  /// Whether an attempt that may have run may be followed by another.
+  /// @return whether another attempt is permitted after one that may have run the request.
   bool repeatable() const {
     return route->kind == relay::RouteKind::Repeatable ||
            (route->kind == relay::RouteKind::Streaming && route->resumable);
   }
 };
 
-/// Checks and routes a request.
-/// @param received_ms when the request had come
-/// @return the request, or the refusal that the caller gets.
+/// Validates and routes a request.
+/// @param received_ms when the request was received
+/// @return the admitted request, or the problem to send to the caller.
 std::variant<RelayRequest, http::Problem> admit(const http::Request& request,
                                                 const RelayState& state, int64_t received_ms);
 
-/// @return for how many milliseconds this request may wait for the relay's first lease; zero: the
-/// relay has had one, or none is expected soon.
+/// @return milliseconds for which this request may wait for the relay's first lease; zero if the
+/// relay has had a lease or none is expected soon enough.
 int64_t leaseWaitMs(const http::Request& request, const RelayState& state, int64_t received_ms);
 
-/// What differs from attempt to attempt of one request.
+/// Header values that differ between the attempts of one request.
 struct AttemptHeaders {
   std::string runner_id;
   int64_t remaining_ms = 0;
-  /// Empty: from the beginning.
+  /// Last event that the caller received; empty if the stream starts from the beginning.
   std::string last_event_id;
-  /// Address of a runner that likely keeps the prompt's shared part; empty: none.
+  /// Address of the runner from which to copy the prompt prefix; empty if there is none.
   std::string fetch_from;
 };
 
-/// @return the request's head and body as a runner gets them.
+/// @return the head and body of the HTTP request for a runner.
 std::string formatForRunner(const http::Request& request, const RelayRequest& relayed,
                             const RelayState& state, const AttemptHeaders& attempt);
 
--- a/src/daemon/relay/relay_role.cc
+++ b/src/daemon/relay/relay_role.cc
@@ -25,26 +25,27 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::chrono::milliseconds kHousekeepingPeriod{50};
-/// A process that did no housekeeping for so long has stood still: ten periods, more than a busy
-/// processor delays it.
+/// After this time without housekeeping the process is considered to have been suspended. It is ten
+/// periods, more than the delay that a busy processor causes.
 constexpr int64_t kSuspensionThresholdMs = 500;
-/// The group counts as silent after this; the relay then reads the list of runners itself.
+/// After this time without a reply the group is considered silent, and the relay reads the list of
+/// runners itself. The limit is longer until the relay has had its first lease.
 constexpr int64_t kGroupSilentMs = 1500;
 constexpr int64_t kGroupSilentAtStartMs = 4000;
 constexpr int64_t kOwnListPollMs = 1000;
-/// Relays are taken to be at least so many.
+/// Minimum number of relays that is assumed when the platform's call rate is divided.
 constexpr size_t kMinAssumedReaders = 10;
-/// Relays that read the list at the same time spread their calls over this.
+/// Random delay by which relays that read the list at the same time spread their calls.
 constexpr uint64_t kOwnListJitterMs = 400;
-/// New requests are taken for so long after a planned stop began.
+/// Time after the begin of a planned stop during which new requests are still accepted.
 constexpr std::chrono::milliseconds kAcceptWhileStopping{2800};
-/// Part of the time for a planned stop after which what is still in progress is cut.
+/// Fraction of the time limit of a planned stop after which requests in progress are abandoned.
 constexpr double kStopFraction = 0.93;
 
-/// @return a number from 0 to below 1.
+/// @return a random number in [0, 1).
 double randomFraction(Random& random) {
-  constexpr uint64_t kLots = uint64_t{1} << 20U;
-  return static_cast<double>(random.below(kLots)) / static_cast<double>(kLots);
+  constexpr uint64_t kSteps = uint64_t{1} << 20U;
+  return static_cast<double>(random.below(kSteps)) / static_cast<double>(kSteps);
 }
 
 } // namespace
@@ -109,7 +110,8 @@
     return errorOf(peers_open);
   }
   peers_->onSilent([this](const std::string& relay) {
-    // The leader finds out whether it is gone; told with the first of several.
+    // The leader checks whether the relay has crashed. Only the first of several silent relays
+    // triggers a renewal, which reports all of them.
     if (silent_peers_.insert(relay).second && silent_peers_.size() == 1) {
       control_.renewNow();
     }
@@ -131,11 +133,11 @@
 http::ServerLimits RelayRole::callerLimits() const {
   http::ServerLimits limits;
   if (state_.routes) {
-    const relay::CallerLimits& told = state_.routes->configuration().limits;
-    limits.header_bytes = told.header_bytes;
-    limits.body_bytes = told.body_bytes;
-    limits.read_timeout = std::chrono::milliseconds(told.header_timeout_ms);
-    limits.idle_timeout = std::chrono::milliseconds(told.idle_timeout_ms);
+    const relay::CallerLimits& configured = state_.routes->configuration().limits;
+    limits.header_bytes = configured.header_bytes;
+    limits.body_bytes = configured.body_bytes;
+    limits.read_timeout = std::chrono::milliseconds(configured.header_timeout_ms);
+    limits.idle_timeout = std::chrono::milliseconds(configured.idle_timeout_ms);
   }
   return limits;
 }
@@ -221,9 +223,10 @@
     timer.expires_after(std::chrono::milliseconds(kOwnListPollMs + jitter_ms));
     co_await timer.async_wait(kAwait);
     const int64_t now = clock_.monotonicMs();
-    // A relay that does not know how many there are leaves the rate to the group for longer.
+    // Before its first lease a relay does not know the number of relays, so it leaves the call rate
+    // to the group for longer.
     const int64_t silent_ms = state_.lease.everConfirmed() ? kGroupSilentMs : kGroupSilentAtStartMs;
-    // Without the group all relays read: together they keep to the platform's rate.
+    // While the group is silent all relays read the list, and share the platform's call rate.
     const int64_t period_ms = relay::listPeriodMs(relay::ListPollOptions{
         .pages = reader_.pages(),
         .readers = std::max<size_t>(static_cast<size_t>(relays_.relays_size()), kMinAssumedReaders),
@@ -243,13 +246,13 @@
   }
 }
 
-/// After a sleep or a freeze: what is over ends, and the group is asked before anything else, so
-/// that nothing is served on what was believed before.
+/// Detects that the process was suspended. If so, interrupts requests whose deadline has passed and
+/// renews the lease immediately, so that no request is served with outdated state.
 void RelayRole::checkForSuspension() {
   const int64_t now_ms = clock_.monotonicMs();
-  const bool stood_still =
+  const bool suspended =
       now_ms - std::exchange(last_housekeeping_ms_, now_ms) >= kSuspensionThresholdMs;
-  if (!stood_still) {
+  if (!suspended) {
     return;
   }
   line_log::write("awake", {{"lease_age_ms", state_.lease.ageMs(now_ms)}});
@@ -264,7 +267,8 @@
   state_.connections.dropExpired();
   slot_client_->tick();
   prefix_client_->tick();
-  // Runners that declined count as full for a time only, of whose end nothing else tells.
+  // A runner that declined counts as full for a limited time. Nothing else signals the end of this
+  // time to queued requests.
   state_.queue.wakeNextOfEachService();
   housekeeping_.expires_after(kHousekeepingPeriod);
   housekeeping_.async_wait([this](boost::system::error_code failure) {
--- a/src/daemon/relay/relay_role.h
+++ b/src/daemon/relay/relay_role.h
@@ -1,6 +1,6 @@
 /// @file
-/// The relay role: takes callers' requests, tells callers where to go, and keeps in touch with the
-/// group.
+/// The relay role: serves callers' requests, tells callers the addresses of relays, and exchanges
+/// leases, lists and reports with the group's leader.
 #pragma once
 
 #include <functional>
@@ -26,15 +26,16 @@
 
 namespace workshatch::daemon {
 
-/// Lives on the first worker's event loop; `start`, `stop` and `reload` run on it.
+/// Owns the servers, the tables and the links of one relay process. Lives on the first worker's
+/// event loop, on which `start`, `stop` and `reload` run.
 class RelayRole : public Role {
 public:
   RelayRole(settings::RelaySettings settings, WorkerPool& workers, const Clock& clock,
             RelayAdapters adapters);
 
   Result<std::monostate> start() override;
-  /// A planned stop: takes no new connections once callers had time to learn of it, finishes what
-  /// is in progress, then calls `stopped`.
+  /// Begins a planned stop: stops accepting once callers have had time to see that the relay is
+  /// draining, finishes the requests in progress, then calls `stopped`.
   void stop(std::function<void()> stopped) override;
   void reload(const settings::RelaySettings& settings) override;
 
@@ -47,7 +48,7 @@
   http::awaitable<void> drain(std::function<void()> stopped);
   v1::LeaseRenewal makeRenewal(bool first_on_link);
   void onLeaseReply(const v1::LeaseReply& reply);
-  /// @return false when the update does not fit what is held.
+  /// @return false if the update does not apply to the current list.
   bool applyRunners(const v1::RunnerListUpdate& update);
   void applyEvacuations(const v1::EvacuationList& evacuations);
   void applyQuarantine(const v1::QuarantineList& list);
@@ -73,21 +74,21 @@
   ControlLink control_;
   RunnerListReader reader_;
   const std::shared_ptr<RelayPeers> peers_;
-  /// Shared with the places that requests hold, which may outlive the role.
+  /// Shared with the slots that requests in progress use, which may outlive the role.
   const std::shared_ptr<SlotClient> slot_client_;
   const std::shared_ptr<PrefixClient> prefix_client_;
   const std::shared_ptr<RunnerCrashReporter> crash_reporter_;
-  /// Requests in quarantine that ran whole here lately; told with each renewal.
+  /// Quarantined requests that runners recently completed for this relay; reported in each renewal.
   std::vector<relay::RequestIdentity> completed_quarantined_;
   ReceivedConfiguration received_;
   v1::RelayList relays_;
-  /// Links of the relays that did not answer since the last renewal.
+  /// Datagram addresses of the relays that failed to answer since the last renewal.
   std::set<std::string> silent_peers_;
   v1::EvacuationList evacuations_;
   v1::RunnerLoads reported_loads_;
   int64_t last_group_reply_ms_ = 0;
   int64_t last_housekeeping_ms_ = 0;
-  /// When this relay last read the list of runners itself.
+  /// When this relay last read the list of runners from the platform itself.
   int64_t own_list_read_ms_ = 0;
   http::Server caller_server_;
   http::Server ready_server_;
--- a/src/daemon/relay/relay_state.h
+++ b/src/daemon/relay/relay_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// What one relay knows and shares among its requests.
+/// The state that all requests of one relay process share: tables, budgets, queues and counters.
 #pragma once
 
 #include <cstdint>
@@ -28,23 +28,24 @@
 
 namespace workshatch::daemon {
 
-/// Part of the bound on revoked keys for which a lease counts; the rest covers requests that are
-/// already on their way to a runner.
+/// Length of a lease as a fraction of the time within which a revoked key must be rejected. The
+/// rest covers requests that are already on their way to a runner.
 inline constexpr double kLeaseFraction = 0.8;
 
-/// Requests of a service that wait at one relay for a place, at most. With 48 places on a runner
-/// and ten relays, some ten places become free here in the time that a request waits.
+/// Maximum number of requests of one service that wait at one relay for a slot. With 48 slots per
+/// runner and ten relays, about ten slots become free for this relay while a request waits.
 inline constexpr size_t kMaxQueuedRequests = 48;
 
-/// Part of what a version on trial may get that relays send there: callers come back, so that there
-/// are fewer requests than sends.
+/// Fraction of the permitted share of a version on trial that relays use. Callers repeat refused
+/// requests, so there are fewer distinct requests than sends, and the share applies to requests.
 inline constexpr double kTrialFraction = 0.8;
 
 class ActiveRequest;
 
 /// Lives on the relay's event loop; not safe for concurrent use.
 struct RelayState {
-  /// @param lot from 0 to below 1, drawn anew by each process
+  /// Clock and dialect must outlive the state.
+  /// @param draw random number in [0, 1), drawn once per process, for the retry budget
   RelayState(const settings::RelaySettings& settings, const Clock& time, const RelayDialect& names,
              double draw = 0)
       : clock(time), dialect(names), zone(settings.zone),
@@ -67,23 +68,23 @@
   const Clock& clock;
   const RelayDialect& dialect;
   const std::string zone;
-  /// The configuration in force; null: none has arrived yet. Its version never goes down.
+  /// The configuration in force; null before the first one. Its version never decreases.
   std::shared_ptr<const relay::RouteTable> routes;
   relay::ServingLease lease;
   const relay::Policy policy;
   relay::RunnerTable runners;
   relay::RetryBudget budget;
-  /// Null: owners are not asked for places.
+  /// Null if slots are not claimed from their owners.
   std::shared_ptr<SlotClient> slot_client;
-  /// Null: nobody is asked for the sources of parts.
+  /// Null if prefix sources are not looked up.
   std::shared_ptr<PrefixClient> prefix_client;
-  /// Null: nobody is told of runners that ended.
+  /// Null if crashes of runners are not reported.
   std::shared_ptr<RunnerCrashReporter> crash_reporter;
-  /// Requests that reach no runner.
+  /// Requests that must not be sent to any runner.
   relay::Quarantine quarantine;
-  /// How requests went at both versions of rollouts that are under way.
+  /// Outcomes of requests at the old and the new version, for rollouts in progress.
   relay::RolloutOutcomes rollout_outcomes;
-  /// Requests in progress; each takes itself out when it ends.
+  /// Requests in progress. Not owned; each adds and removes itself.
   std::set<ActiveRequest*> active_requests;
   relay::RequestQueues queue{kMaxQueuedRequests};
   relay::ReadAheadBudget read_ahead;
@@ -94,7 +95,7 @@
   const int64_t started_ms;
   /// A planned stop is in progress.
   bool stopping = false;
-  /// New requests are refused, since the process is about to end.
+  /// New requests are refused because the process is about to exit.
   bool refusing = false;
 };
 
--- a/src/daemon/relay/relay_stats.cc
+++ b/src/daemon/relay/relay_stats.cc
@@ -7,12 +7,12 @@
 using metrics::exposeCounter;
 using metrics::exposeCounters;
 
-void RelayStats::note(const relay::RunnerNotice& notice) {
-  backoffs_told += notice.backoff_ms ? 1 : 0;
+void RelayStats::recordNotice(const relay::RunnerNotice& notice) {
+  backoffs_requested += notice.backoff_ms ? 1 : 0;
   backoffs_rejected += notice.backoff_rejected ? 1 : 0;
-  leaving_told += notice.leaving ? 1 : 0;
+  leaving_announced += notice.leaving ? 1 : 0;
   if (notice.load) {
-    work_times_told += notice.load->work_time_factor ? 1 : 0;
+    work_times_reported += notice.load->work_time_factor ? 1 : 0;
     work_times_rejected += notice.load->work_time_rejected ? 1 : 0;
   }
 }
@@ -27,11 +27,11 @@
   exposeCounter(out, "relay_resumed_streams_total", "streams that went on at another runner",
                 resumed_streams);
   exposeCounter(out, "relay_backoffs_told_total",
-                "answers by which a runner asked for no requests for a time", backoffs_told);
+                "answers by which a runner asked for no requests for a time", backoffs_requested);
   exposeCounter(out, "relay_backoffs_rejected_total", "such answers whose time can't be read",
                 backoffs_rejected);
   exposeCounter(out, "relay_leaving_told_total", "answers of runners that said they are leaving",
-                leaving_told);
+                leaving_announced);
   exposeCounter(out, "relay_sent_in_backoff_total",
                 "requests sent to runners that had asked for none", sent_in_backoff);
   exposeCounter(out, "relay_events_total", "events relayed", events);
--- a/src/daemon/relay/relay_stats.h
+++ b/src/daemon/relay/relay_stats.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counters and histograms of one relay, each declared once.
+/// Counters and histograms of one relay, and their output as metrics.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 /// Lives on the relay's event loop; not safe for concurrent use.
 struct RelayStats {
-  /// Requests by outcome, as the decision log names it.
+  /// Requests by outcome, under the names of the decision log.
   metrics::LabelledCounts outcomes;
   /// Attempts at runners by outcome.
   metrics::LabelledCounts attempts;
@@ -21,24 +21,24 @@
   uint64_t resumed_streams = 0;
   uint64_t events = 0;
   uint64_t renewals = 0;
-  /// Figures of runners on how long their work takes: taken, and not to be believed.
-  uint64_t work_times_told = 0;
+  /// Work time factors reported by runners: plausible ones, and rejected ones.
+  uint64_t work_times_reported = 0;
   uint64_t work_times_rejected = 0;
-  /// Answers by which a runner asked for no requests for a time, or said that it is leaving, and
-  /// those whose time can't be read.
-  uint64_t backoffs_told = 0;
+  /// Answers in which a runner requested a backoff, requested one with an unreadable time, or
+  /// announced that it is leaving.
+  uint64_t backoffs_requested = 0;
   uint64_t backoffs_rejected = 0;
-  uint64_t leaving_told = 0;
-  /// Requests that were sent to a runner which had asked for none.
+  uint64_t leaving_announced = 0;
+  /// Requests that were sent to a runner during its backoff.
   uint64_t sent_in_backoff = 0;
   metrics::DurationHistogram first_event;
   metrics::DurationHistogram event_gap;
   metrics::DurationHistogram answer;
 
-  /// Counts what an answer says of its runner.
-  void note(const relay::RunnerNotice& notice);
+  /// Counts the notices in the headers of a runner's answer.
+  void recordNotice(const relay::RunnerNotice& notice);
 
-  /// Appends everything in the Prometheus text format.
+  /// Appends all metrics in the Prometheus text format.
   void expose(std::string& out) const;
 };
 
--- a/src/daemon/relay/runner_crash_reporter.cc
+++ b/src/daemon/relay/runner_crash_reporter.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// An address that nobody listens at refuses within a round trip; one that says nothing for longer
-/// is no sign of an end.
+/// An address without a listener refuses a connection within one round trip. A connection attempt
+/// without a response is no evidence of a crash, so there is no point in waiting longer.
 constexpr std::chrono::milliseconds kProbeTimeout{300};
 
 } // namespace
@@ -23,7 +23,7 @@
                                            const relay::RequestIdentity& request) {
   using AfterDisconnect = relay::RunnerCrashMonitor::AfterDisconnect;
   const AfterDisconnect next =
-      watch_.recordDisconnect(runner.fingerprint, request, clock_.monotonicMs());
+      monitor_.recordDisconnect(runner.fingerprint, request, clock_.monotonicMs());
   if (next == AfterDisconnect::Report) {
     notifyLeader();
   }
@@ -48,7 +48,7 @@
   const auto error = co_await connection->connect(*endpoint, kProbeTimeout);
   connection->close();
   if (!error) {
-    watch_.recordListening(runner);
+    monitor_.recordListening(runner);
   } else if (error->refused) {
     ++counts_.refused;
     onConnectionRefused(runner);
@@ -56,7 +56,7 @@
 }
 
 void RunnerCrashReporter::onConnectionRefused(uint64_t runner) {
-  if (!watch_.recordConnectionRefused(runner, clock_.monotonicMs())) {
+  if (!monitor_.recordConnectionRefused(runner, clock_.monotonicMs())) {
     return;
   }
   notifyLeader();
@@ -72,19 +72,19 @@
 }
 
 void RunnerCrashReporter::recordListening(const relay::Runner& runner) {
-  watch_.recordListening(runner.fingerprint);
+  monitor_.recordListening(runner.fingerprint);
 }
 
 void RunnerCrashReporter::recordCompleted(const relay::RequestIdentity& request) {
-  watch_.recordCompleted(request, clock_.monotonicMs());
+  monitor_.recordCompleted(request, clock_.monotonicMs());
 }
 
 bool RunnerCrashReporter::completedRecently(const relay::RequestIdentity& request) {
-  return watch_.completedRecently(request, clock_.monotonicMs());
+  return monitor_.completedRecently(request, clock_.monotonicMs());
 }
 
 void RunnerCrashReporter::fill(v1::LeaseRenewal& renewal, bool first_on_link) {
-  watch_.fill(renewal, first_on_link, clock_.monotonicMs());
+  monitor_.fill(renewal, first_on_link, clock_.monotonicMs());
 }
 
 } // namespace workshatch::daemon
--- a/src/daemon/relay/runner_crash_reporter.h
+++ b/src/daemon/relay/runner_crash_reporter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out whether a runner that cut a request has ended, and tells the leader.
+/// Detects crashes of runners and reports to the leader which requests were in progress at them.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +16,39 @@
 
 namespace workshatch::daemon {
 
-/// Lives on the relay's event loop; not safe for concurrent use.
+/// Collects evidence of crashes. A runner that closes the connection of a request in progress is
+/// probed with a new connection, which is refused if its process has crashed. Must be owned by a
+/// shared_ptr. Lives on the relay's event loop; not safe for concurrent use.
 class RunnerCrashReporter : public std::enable_shared_from_this<RunnerCrashReporter> {
 public:
-  /// Figures since the start.
+  /// Totals since the start of the process.
   struct Counts {
-    /// Connections made to see whether a runner still listens, and those that were refused.
+    /// Connection attempts that probe whether a runner still listens, and how many were refused.
     uint64_t probes = 0;
     uint64_t refused = 0;
-    /// Times that ends were reported to the leader.
+    /// Times that the leader was to be notified of crashes.
     uint64_t reports = 0;
   };
 
-  /// @param notify_leader called when there is something to tell with a renewal
+  /// @param notify_leader called when there are reports for the next renewal, which should be sent
+  /// without delay
   RunnerCrashReporter(boost::asio::io_context& context, const Clock& clock,
                       std::function<void()> notify_leader)
       : context_(context), clock_(clock), notify_leader_(std::move(notify_leader)) {}
 
-  /// Notes that the runner cut the connection of a request in progress.
+  /// Records that the runner closed the connection of a request in progress, and probes the runner
+  /// if necessary.
   void recordDisconnect(const relay::Runner& runner, const relay::RequestIdentity& request);
-  /// Notes that the runner's address refused a connection, or took one.
+  /// Records that the runner's address refused or accepted a connection.
   void recordConnectionRefused(const relay::Runner& runner);
   void recordListening(const relay::Runner& runner);
-  /// Notes that a runner answered the request with success.
+  /// Records that a runner completed the request successfully.
   void recordCompleted(const relay::RequestIdentity& request);
-  /// @return whether it did lately.
+  /// @return whether a runner completed the request recently.
   bool completedRecently(const relay::RequestIdentity& request);
 
-  /// Adds to a renewal what the leader has not been told.
+  /// Adds the reports that the leader does not have yet to a renewal. @param first_on_link whether
+  /// the renewal is the first on its link, so that the leader may have none of the reports
   void fill(v1::LeaseRenewal& renewal, bool first_on_link);
 
   const Counts& counts() const { return counts_; }
@@ -56,7 +61,7 @@
   boost::asio::io_context& context_;
   const Clock& clock_;
   const std::function<void()> notify_leader_;
-  relay::RunnerCrashMonitor watch_;
+  relay::RunnerCrashMonitor monitor_;
   Counts counts_;
 };
 
--- a/src/daemon/relay/slot_client.cc
+++ b/src/daemon/relay/slot_client.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What others no longer tell is looked for so often.
+/// Period of the search for counts that other relays no longer report.
 constexpr int64_t kExpiryPeriodMs = 500;
 
 } // namespace
@@ -29,7 +29,7 @@
 
 SlotClient::SlotClient(std::shared_ptr<RelayPeers> peers, const Clock& clock, uint32_t incarnation,
                        RunnerSource runner_source)
-    : peers_(std::move(peers)), clock_(clock), held_(incarnation),
+    : peers_(std::move(peers)), clock_(clock), used_slots_(incarnation),
       runner_source_(std::move(runner_source)) {
   peers_->onFrame(v1::Frame::kPlaceClaim, [this](const v1::Frame& frame, const std::string& from) {
     answerClaim(frame.place_claim(), from);
@@ -41,24 +41,24 @@
                    [](const v1::Frame& frame) { return frame.place_answer().sequence(); });
   peers_->observeRelayList(RelayPeers::RelayListObserver{
       .before = [this] { recordOwners(); },
-      .after = [this](const std::vector<std::string>& left) { reportToNewOwners(left); }});
+      .after = [this](const std::vector<std::string>& removed) { reportToNewOwners(removed); }});
 }
 
 void SlotClient::recordOwners() {
-  owners_before_.clear();
-  for (const uint64_t runner : held_.runners()) {
+  previous_owners_.clear();
+  for (const uint64_t runner : used_slots_.runners()) {
     const std::string* owner = peers_->ownerOf(runner);
-    owners_before_[runner] = owner == nullptr ? "" : *owner;
+    previous_owners_[runner] = owner == nullptr ? "" : *owner;
   }
 }
 
-void SlotClient::reportToNewOwners(const std::vector<std::string>& left) {
+void SlotClient::reportToNewOwners(const std::vector<std::string>& removed) {
   owner_.recordOwnersChanged(clock_.monotonicMs());
-  for (const std::string& relay : left) {
-    // A relay that died holds nothing; one that stops gives back what it holds in a moment.
+  for (const std::string& relay : removed) {
+    // A relay that crashed uses no slots; one that is stopping is about to release its slots.
     owner_.forgetRelay(relay);
   }
-  for (const auto& [runner, before] : owners_before_) {
+  for (const auto& [runner, before] : previous_owners_) {
     const std::string* owner = peers_->ownerOf(runner);
     if (owner != nullptr && *owner != before) {
       reportToOwner(runner);
@@ -70,27 +70,27 @@
   ++(decision.granted ? counts_.granted : counts_.refused);
   counts_.held_back += decision.wait_ms != 0 ? 1 : 0;
   if (decision.granted) {
-    held_.add(runner);
+    used_slots_.add(runner);
   }
   return SlotClaimResult{.verdict = decision.granted ? SlotVerdict::Granted : SlotVerdict::Refused,
                          .load = decision.load,
                          .wait_ms = decision.wait_ms,
-                         .place =
+                         .slot =
                              decision.granted ? SlotGuard(weak_from_this(), runner) : SlotGuard()};
 }
 
 asio::awaitable<SlotClaimResult> SlotClient::claim(uint64_t runner, uint32_t limit,
                                                    uint32_t cold_ms) {
   const int64_t now_ms = clock_.monotonicMs();
-  const std::string* known = peers_->ownerOf(runner);
-  if (known == nullptr || peers_->isSilent(*known)) {
+  const std::string* owner_address = peers_->ownerOf(runner);
+  if (owner_address == nullptr || peers_->isSilent(*owner_address)) {
     ++counts_.unanswered;
     co_return SlotClaimResult{};
   }
-  const std::string owner = *known;
+  const std::string owner = *owner_address;
   v1::Frame frame;
   v1::PlaceClaim& claim = *frame.mutable_place_claim();
-  *claim.mutable_use() = held_.makeReport(runner, now_ms);
+  *claim.mutable_use() = used_slots_.makeReport(runner, now_ms);
   claim.set_limit(limit);
   claim.set_cold_ms(cold_ms);
   if (owner == peers_->ownAddress()) {
@@ -111,13 +111,13 @@
 }
 
 SlotGuard SlotClient::takeWithoutClaim(uint64_t runner) {
-  held_.add(runner);
+  used_slots_.add(runner);
   reportToOwner(runner);
   return {weak_from_this(), runner};
 }
 
 void SlotClient::release(uint64_t runner) {
-  held_.remove(runner);
+  used_slots_.remove(runner);
   reportToOwner(runner);
 }
 
@@ -128,7 +128,7 @@
   }
   const int64_t now_ms = clock_.monotonicMs();
   v1::Frame frame;
-  *frame.mutable_place_use() = held_.makeReport(runner, now_ms);
+  *frame.mutable_place_use() = used_slots_.makeReport(runner, now_ms);
   if (*owner == peers_->ownAddress()) {
     owner_.recordUsage(*owner, frame.place_use(), now_ms);
   } else {
@@ -138,11 +138,11 @@
 
 void SlotClient::tick() {
   const int64_t now_ms = clock_.monotonicMs();
-  for (const uint64_t runner : held_.dueRunners(now_ms)) {
+  for (const uint64_t runner : used_slots_.dueRunners(now_ms)) {
     reportToOwner(runner);
   }
-  if (now_ms >= stale_due_ms_) {
-    stale_due_ms_ = now_ms + kExpiryPeriodMs;
+  if (now_ms >= next_expiry_ms_) {
+    next_expiry_ms_ = now_ms + kExpiryPeriodMs;
     owner_.forgetStale(now_ms);
   }
 }
--- a/src/daemon/relay/slot_client.h
+++ b/src/daemon/relay/slot_client.h
@@ -1,5 +1,6 @@
 /// @file
-/// Places at runners, asked of their owners: other relays, or this one.
+/// Claims and releases slots at runners through the relays that own them, and answers the claims
+/// for slots that this relay owns.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +22,11 @@
 
 class SlotClient;
 
-/// One place at a runner, given back when it ends.
+/// Guard of one slot at a runner; releases the slot when it is destroyed. It may outlive the
+/// client.
 class SlotGuard {
 public:
-  /// Holds nothing.
+  /// Creates a guard without a slot.
   SlotGuard() = default;
   SlotGuard(std::weak_ptr<SlotClient> client, uint64_t runner)
       : client_(std::move(client)), runner_(runner) {}
@@ -46,65 +48,68 @@
 
 enum class SlotVerdict {
   Granted,
-  /// The runner is as full as the claim allows.
+  /// The runner has reached the limit of the claim, or currently gives out no slots.
   Refused,
-  /// No owner is known, or it did not answer in time.
+  /// No owner is known, or the owner did not answer in time.
   Unanswered,
 };
 
 struct SlotClaimResult {
   SlotVerdict verdict = SlotVerdict::Unanswered;
-  /// Requests in progress at the runner, the granted one included; not set without an answer.
+  /// Requests in progress at the runner, including a granted one; not set if unanswered.
   uint32_t load = 0;
-  /// Refused for another reason than the limit: the runner gives no place for so long.
+  /// Nonzero if the claim was refused for another reason than its limit: milliseconds for which the
+  /// runner gives out no slots.
   uint32_t wait_ms = 0;
-  /// Holds something only when granted.
-  SlotGuard place;
+  /// Guards a slot only if the claim was granted.
+  SlotGuard slot;
 };
 
-/// Asks owners for places, answers the claims of other relays, and tells owners what is held here.
-/// Lives on the relay's event loop; not safe for concurrent use.
+/// Claims slots from their owners, answers the claims of other relays, and reports to the owners
+/// how many slots this relay uses. Lives on the relay's event loop; not safe for concurrent use.
 ///
-/// Guarantee: nothing here ever keeps a request from being served by what the sums of loads tell.
+/// Guarantee: a failure of this protocol never prevents a request from being served; without an
+/// answer the caller can decide by the load totals that the leader distributes.
 class SlotClient : public std::enable_shared_from_this<SlotClient> {
 public:
-  /// @return what this relay's tables tell of a runner.
+  /// Looks up a runner, by fingerprint, in this relay's own tables.
   using RunnerSource = std::function<relay::OwnedRunner(uint64_t runner)>;
 
-  /// Figures since the start.
+  /// Totals since the start of the process.
   struct Counts {
     uint64_t granted = 0;
     uint64_t refused = 0;
-    /// Claims, of those refused, that a cold or evacuated runner was too much for.
+    /// Refused claims whose reason was a cold runner or an evacuated zone.
     uint64_t held_back = 0;
     uint64_t unanswered = 0;
-    /// Claims of other relays that were answered here.
+    /// Claims of other relays that this relay answered.
     uint64_t answered = 0;
   };
 
   SlotClient(std::shared_ptr<RelayPeers> peers, const Clock& clock, uint32_t incarnation,
              RunnerSource runner_source);
 
-  /// Asks for a place.
-  /// @param limit requests in progress there, this one included, at most
-  /// @param cold_ms for how long the runner stays cold, as this relay knows it
+  /// Claims a slot from the runner's owner.
+  /// @param limit maximum number of requests in progress at the runner, including this one
+  /// @param cold_ms milliseconds for which the runner stays cold according to this relay
   boost::asio::awaitable<SlotClaimResult> claim(uint64_t runner, uint32_t limit,
                                                 uint32_t cold_ms = 0);
-  /// Takes a place without asking; the owner is told.
+  /// Takes a slot regardless of the runner's limit, and reports it to the owner.
   SlotGuard takeWithoutClaim(uint64_t runner);
 
-  /// Tells owners again what is held, and drops what others no longer tell. Runs often.
+  /// Repeats the reports to owners that are due, and removes the counts of other relays that were
+  /// not reported again in time. To be called often.
   void tick();
 
   const Counts& counts() const { return counts_; }
-  /// Runners of which other relays tell this one what they hold.
+  /// Number of runners for which this relay, as their owner, counts slots.
   size_t ownedRunners() const { return owner_.runnerCount(); }
 
 private:
   friend class SlotGuard;
 
   void recordOwners();
-  void reportToNewOwners(const std::vector<std::string>& left);
+  void reportToNewOwners(const std::vector<std::string>& removed);
   void release(uint64_t runner);
   void reportToOwner(uint64_t runner);
   void answerClaim(const v1::PlaceClaim& claim, const std::string& from);
@@ -112,12 +117,12 @@
 
   const std::shared_ptr<RelayPeers> peers_;
   const Clock& clock_;
-  relay::SlotUsage held_;
+  relay::SlotUsage used_slots_;
   relay::SlotOwner owner_;
   const RunnerSource runner_source_;
-  /// Owners of the runners with places held, as of before the list of relays changed.
-  std::map<uint64_t, std::string> owners_before_;
-  int64_t stale_due_ms_ = 0;
+  /// Owners, before a change of the relay list, of the runners at which this relay uses slots.
+  std::map<uint64_t, std::string> previous_owners_;
+  int64_t next_expiry_ms_ = 0;
   Counts counts_;
 };
 
