--- a/tests/unit/daemon/configuration_transfer_test.cc
+++ b/tests/unit/daemon/configuration_transfer_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// How a configuration travels: whole once, then by differences.
+/// Tests of packing configurations and of the updates that transfer them: whole documents and
+/// patches.
 #include <string>
 
 #include <doctest/doctest.h>
@@ -24,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("A stored configuration gives back its document, a damaged one an error") {
+TEST_CASE("Unpacking a stored configuration returns its document, or an error if it is damaged") {
   v1::StoredConfiguration stored = storedAt(4, 100);
   CHECK(stored.compressed_document().size() < documentAt(4, 100).size() / 3);
   CHECK(std::get<std::string>(daemon::unpackConfiguration(stored)) == documentAt(4, 100));
@@ -32,18 +33,18 @@
   CHECK(isError(daemon::unpackConfiguration(stored)));
 }
 
-TEST_CASE("A receiver of nothing gets the whole document compressed, then small differences") {
+TEST_CASE("A receiver first gets the whole document compressed, then small patches") {
   daemon::ConfigurationUpdateBuilder sender;
   daemon::ReceivedConfiguration receiver;
   sender.add(storedAt(3, 1000));
   const v1::ConfigurationUpdate& whole = sender.updateFrom(receiver.version());
   CHECK(whole.ByteSizeLong() < documentAt(3, 1000).size() / 3);
-  CHECK(std::get<bool>(receiver.take(whole)));
+  CHECK(std::get<bool>(receiver.apply(whole)));
   CHECK(receiver.document() == documentAt(3, 1000));
   sender.add(storedAt(8, 1001));
   const v1::ConfigurationUpdate& difference = sender.updateFrom(receiver.version());
   CHECK(difference.ByteSizeLong() < 300);
-  CHECK(std::get<bool>(receiver.take(difference)));
+  CHECK(std::get<bool>(receiver.apply(difference)));
   CHECK(receiver.version() == 8);
   CHECK(receiver.document() == documentAt(8, 1001));
 }
@@ -59,18 +60,18 @@
   CHECK(sender.updateFrom(28).base_version() == 28);
 }
 
-TEST_CASE("An older update changes nothing, an unfit one is an error and forgetting mends it") {
+TEST_CASE("An older update changes nothing; after an inapplicable one the receiver starts over") {
   daemon::ConfigurationUpdateBuilder sender;
   daemon::ReceivedConfiguration receiver;
   sender.add(storedAt(1, 10));
   sender.add(storedAt(2, 10));
-  REQUIRE(std::get<bool>(receiver.take(sender.updateFrom(0))));
-  CHECK_FALSE(std::get<bool>(receiver.take(sender.updateFrom(1))));
+  REQUIRE(std::get<bool>(receiver.apply(sender.updateFrom(0))));
+  CHECK_FALSE(std::get<bool>(receiver.apply(sender.updateFrom(1))));
   sender.add(storedAt(3, 10));
-  CHECK(isError(receiver.take(sender.updateFrom(1))));
+  CHECK(isError(receiver.apply(sender.updateFrom(1))));
   CHECK(receiver.version() == 2);
-  receiver.forget();
-  CHECK(std::get<bool>(receiver.take(sender.updateFrom(receiver.version()))));
+  receiver.reset();
+  CHECK(std::get<bool>(receiver.apply(sender.updateFrom(receiver.version()))));
   CHECK(receiver.version() == 3);
 }
 
--- a/tests/unit/daemon/fleet/crashing_request_test.cc
+++ b/tests/unit/daemon/fleet/crashing_request_test.cc
@@ -1,15 +1,10 @@
 /// @file
-/// A request that ends each runner which begins to run it, sent again and again at all relays.
+/// Tests of the quarantine of a request that crashes every runner which starts to run it.
 ///
-/// On a busy day a caller sent such a request every half second, each time under another id and at
-/// another relay. A relay knew which runners the present try had used and which runners had failed
-/// lately, and nothing of the request itself, so that each try went to a runner that still worked:
-///
-///   attempt_ended runner 1 error "partial message", at two relays in the same millisecond
-///   attempt_ended runner 1 outcome process_gone "Connection refused", from then on at all relays
-///
-/// 125 tries were cut like that at 28 runners, none of them twice. Where twelve runners serve at a
-/// time, sixteen ended in a row; nine of the sends came long after the third end.
+/// The failure: a caller repeated such a request every half second, with a new id and at another
+/// relay each time. The relays avoided runners that had failed, but did not recognize the request,
+/// so every repetition crashed a runner that still worked. 125 attempts crashed 28 runners; in a
+/// service of twelve runners sixteen crashed in a row, nine of them long after the third crash.
 #include <atomic>
 #include <chrono>
 #include <functional>
@@ -26,12 +21,12 @@
 
 namespace {
 
-/// Time from the third end until no relay in touch may send the request to a runner.
+/// Time after the third crash from which no relay with a lease may send the request to a runner.
 constexpr std::chrono::milliseconds kBound{3000};
 constexpr const char* kCrashBody = "ko";
 
-/// Sends the request that ends runners until it has ended so many, at one relay after the other.
-void endRunners(TestFleet& fleet, size_t runners) {
+/// Sends the crashing request, to one relay after another, until this many runners have crashed.
+void crashRunners(TestFleet& fleet, size_t runners) {
   size_t relay = 0;
   REQUIRE(within(kTestTimeout, [&] {
     if (fleet.crashedRunners() < runners) {
@@ -41,18 +36,18 @@
   }));
 }
 
-/// @return whether a relay refuses the request without a runner, as far as it tells.
-bool refuses(const TestFleet& fleet, size_t relay) {
+/// @return whether a relay's metrics show that the request is in quarantine there.
+bool isQuarantinedAt(const TestFleet& fleet, size_t relay) {
   return fleet.metricsHave(relay, "workshatch_relay_quarantined_requests 1");
 }
 
 } // namespace
 
-TEST_CASE("A request under which three runners ended reaches none later") {
+TEST_CASE("A request that crashed three runners is not sent to any further runner") {
   TestFleet fleet(FleetOptions{.relays = 3, .runners = 12, .first_port = 18400});
-  endRunners(fleet, 3);
+  crashRunners(fleet, 3);
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
-    within(kBound, [&] { return refuses(fleet, relay); });
+    within(kBound, [&] { return isQuarantinedAt(fleet, relay); });
   }
   for (size_t round = 0; round < 3; ++round) {
     for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
@@ -61,7 +56,7 @@
     }
   }
   CHECK(fleet.crashedRunners() == 3);
-  // Another request of the same caller is served, and what another caller sends reaches a runner.
+  // Other requests of the same caller are served, and the same request of another caller is sent.
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
     CHECK(fleet.sendRequest(relay, "hi").find("whole") != std::string::npos);
   }
@@ -69,16 +64,16 @@
   CHECK(fleet.crashedRunners() == 4);
 }
 
-TEST_CASE("A request stays in quarantine when all processes end and start again") {
+TEST_CASE("A request stays in quarantine when all processes crash and restart") {
   TestFleet fleet(FleetOptions{.relays = 2, .runners = 8, .first_port = 18420});
-  endRunners(fleet, 3);
+  crashRunners(fleet, 3);
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
-    REQUIRE(within(kBound, [&] { return refuses(fleet, relay); }));
+    REQUIRE(within(kBound, [&] { return isQuarantinedAt(fleet, relay); }));
   }
   fleet.restartGroup();
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
     fleet.restartRelay(relay);
-    // The first request that is served at all shows that the relay has its first lease.
+    // The first served request shows that the relay has its first lease.
     REQUIRE(within(kTestTimeout, [&] {
       return fleet.sendRequest(relay, "hi").find("whole") != std::string::npos;
     }));
@@ -87,13 +82,14 @@
   CHECK(fleet.crashedRunners() == 3);
 }
 
-TEST_CASE("Ends that were told to a leader which then ended are told to the next") {
+TEST_CASE(
+    "Crashes that were reported to a leader which then crashed are reported to the next one") {
   TestFleet fleet(FleetOptions{.relays = 2, .runners = 8, .first_port = 18440});
-  endRunners(fleet, 2);
+  crashRunners(fleet, 2);
   fleet.restartGroup();
-  endRunners(fleet, 3);
+  crashRunners(fleet, 3);
   for (size_t relay = 0; relay < fleet.relayCount(); ++relay) {
-    CHECK(within(kTestTimeout, [&] { return refuses(fleet, relay); }));
+    CHECK(within(kTestTimeout, [&] { return isQuarantinedAt(fleet, relay); }));
     CHECK(fleet.sendRequest(relay, kCrashBody).starts_with("HTTP/1.1 503"));
   }
   CHECK(fleet.crashedRunners() == 3);
@@ -101,14 +97,14 @@
 
 namespace {
 
-/// What a series of such requests did.
+/// Result of a series of crashing requests.
 struct Series {
-  size_t ends = 0;
-  size_t others_asked = 0;
+  size_t crashes = 0;
+  size_t others_sent = 0;
   size_t others_served = 0;
 };
 
-/// Calls something at equal distances on a thread of its own, until the end.
+/// Makes calls on its own thread with a fixed period, until a point in time.
 class Client {
 public:
   using Time = std::chrono::steady_clock::time_point;
@@ -125,9 +121,9 @@
   std::thread thread_;
 };
 
-/// Nine relays, twelve runners that are back 2 s after their end, four clients that repeat the
-/// request every 0.3 s at any relay, and 150 other requests a second, for 20 s.
-Series playSeries(bool quarantine) {
+/// Runs nine relays and twelve runners that restart 2 s after a crash, for 20 s. Four clients send
+/// the crashing request every 0.3 s each, and others send 150 requests per second in total.
+Series runSeries(bool quarantine) {
   constexpr std::chrono::seconds kSeries{20};
   constexpr int kBadClients = 4;
   constexpr int kOtherClients = 15;
@@ -136,7 +132,7 @@
                                .first_port = 18480,
                                .runners_restart_after = std::chrono::milliseconds(2000),
                                .policy = relay::Policy{.quarantine = quarantine}});
-  std::atomic<size_t> asked{0};
+  std::atomic<size_t> sent{0};
   std::atomic<size_t> served{0};
   std::atomic<size_t> next_relay{0};
   {
@@ -149,27 +145,27 @@
     }
     for (int i = 0; i < kOtherClients; ++i) {
       clients.push_back(std::make_unique<Client>(std::chrono::milliseconds(100), end, [&] {
-        ++asked;
+        ++sent;
         const std::string answer = fleet.sendRequest(next_relay++ % fleet.relayCount(), "hi");
         served += answer.find("whole") != std::string::npos ? 1 : 0;
       }));
     }
   }
-  return Series{.ends = fleet.runnerCrashes(), .others_asked = asked, .others_served = served};
+  return Series{.crashes = fleet.runnerCrashes(), .others_sent = sent, .others_served = served};
 }
 
 } // namespace
 
-/// A measurement in real time, run by hand: --no-skip -tc="A series of such requests*"
-TEST_CASE("A series of such requests costs few runners, and few others their answers" *
+/// A measurement in real time, to be run manually: --no-skip -tc="A series of crashing requests*"
+TEST_CASE("A series of crashing requests crashes few runners and fails few other requests" *
           doctest::skip()) {
   for (const bool quarantine : {false, true}) {
-    const Series series = playSeries(quarantine);
-    MESSAGE("quarantine ", quarantine, ": runners ended ", series.ends, ", others served ",
-            series.others_served, " of ", series.others_asked);
+    const Series series = runSeries(quarantine);
+    MESSAGE("quarantine ", quarantine, ": crashes of runners ", series.crashes, ", others served ",
+            series.others_served, " of ", series.others_sent);
     if (quarantine) {
-      CHECK(series.ends <= 9);
-      CHECK(series.others_served * 100 >= series.others_asked * 98);
+      CHECK(series.crashes <= 9);
+      CHECK(series.others_served * 100 >= series.others_sent * 98);
     }
   }
 }
--- a/tests/unit/daemon/fleet/rollout_test.cc
+++ b/tests/unit/daemon/fleet/rollout_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Rollouts on a whole system: an operator's order, runners of the new version that fail or do not,
-/// and what the relays send to each version.
+/// Tests of rollouts on a complete system: the operator's order, working and failing runners of the
+/// new version, and the share of requests that each version gets.
 #include <atomic>
 #include <chrono>
 #include <string>
@@ -16,11 +16,11 @@
 namespace {
 
 constexpr size_t kRelays = 3;
-/// Part of the requests that a version may get before it is judged, and the slack of that.
+/// Share of the requests that a version may get before the verdict, and its tolerance in requests.
 constexpr double kTrialShare = 0.1;
 constexpr double kTrialSlack = 10;
 
-/// Callers that ask all relays, one thread for each, until they are stopped.
+/// Sends requests continuously to all relays, on one thread per relay, until stopped.
 class SteadyCallers {
 public:
   explicit SteadyCallers(TestFleet& fleet) {
@@ -58,14 +58,14 @@
   return FleetOptions{.relays = kRelays, .runners = 6, .new_runners = 6, .first_port = first_port};
 }
 
-std::string stateOf(const TestFleet& fleet) {
+std::string rolloutState(const TestFleet& fleet) {
   return fleet.operate(http::Verb::get, "/rollout/s").body();
 }
 
 std::string answerOf(RolloutState state) { return TestDialect().rolloutStatusBody(state, "v2"); }
 
-http::Status begin(const TestFleet& fleet, const std::string& wish) {
-  return fleet.operate(http::Verb::post, "/roll-out", wish).result();
+http::Status beginRollout(const TestFleet& fleet, const std::string& order) {
+  return fleet.operate(http::Verb::post, "/roll-out", order).result();
 }
 
 } // namespace
@@ -73,44 +73,44 @@
 TEST_CASE("A good version gets its share, then all requests, and the former one none at the end") {
   TestFleet fleet(fleetWithNewRunners(18500));
   SteadyCallers callers(fleet);
-  REQUIRE(begin(fleet, "s v2 4000") == http::Status::ok);
-  CHECK(begin(fleet, "s v2 4000") == http::Status::conflict);
-  CHECK(begin(fleet, "s v3 4000") == http::Status::conflict);
+  REQUIRE(beginRollout(fleet, "s v2 4000") == http::Status::ok);
+  CHECK(beginRollout(fleet, "s v2 4000") == http::Status::conflict);
+  CHECK(beginRollout(fleet, "s v3 4000") == http::Status::conflict);
   fleet.startNewRunners();
   REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtNewRunners() > 0; }));
-  CHECK(stateOf(fleet) == answerOf(RolloutState::Running));
+  CHECK(rolloutState(fleet) == answerOf(RolloutState::Running));
   const auto share_kept = [&] {
     const auto at_new = static_cast<double>(fleet.requestsAtNewRunners());
     const auto at_all = at_new + static_cast<double>(fleet.requestsAtRunners());
     return at_new <= kTrialShare * at_all + kTrialSlack;
   };
-  // The trial lasts for more than half of the duration.
+  // The trial phase takes more than half of the rollout's duration.
   const auto trial_end = std::chrono::steady_clock::now() + std::chrono::milliseconds(1500);
   while (std::chrono::steady_clock::now() < trial_end) {
     REQUIRE(share_kept());
   }
-  REQUIRE(
-      within(kTestTimeout, [&] { return stateOf(fleet) == answerOf(RolloutState::Succeeded); }));
+  REQUIRE(within(kTestTimeout,
+                 [&] { return rolloutState(fleet) == answerOf(RolloutState::Succeeded); }));
   const size_t at_former = fleet.requestsAtRunners();
   const size_t at_new = fleet.requestsAtNewRunners();
   REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtNewRunners() > at_new + 50; }));
   CHECK(fleet.requestsAtRunners() == at_former);
   callers.stop();
   CHECK(callers.failed() == 0);
-  // A call whose answer was lost is acknowledged again.
-  CHECK(begin(fleet, "s v2 4000") == http::Status::ok);
+  // An operator whose call's answer was lost can repeat the call, which succeeds again.
+  CHECK(beginRollout(fleet, "s v2 4000") == http::Status::ok);
 }
 
-TEST_CASE("A bad version is rolled back by what relays see, and gets nothing from then on") {
+TEST_CASE("A failing version is rolled back and gets no requests afterwards") {
   TestFleet fleet(fleetWithNewRunners(18520));
   for (size_t i = 0; i < 6; ++i) {
     fleet.newRunner(i).failOneOf(3);
   }
   SteadyCallers callers(fleet);
-  REQUIRE(begin(fleet, "s v2 8000") == http::Status::ok);
+  REQUIRE(beginRollout(fleet, "s v2 8000") == http::Status::ok);
   fleet.startNewRunners();
-  REQUIRE(
-      within(kTestTimeout, [&] { return stateOf(fleet) == answerOf(RolloutState::RolledBack); }));
+  REQUIRE(within(kTestTimeout,
+                 [&] { return rolloutState(fleet) == answerOf(RolloutState::RolledBack); }));
   const auto all_know = [&] {
     for (size_t relay = 0; relay < kRelays; ++relay) {
       const std::string line = "workshatch_relay_rollouts{phase=\"rolled_back\"} 1";
@@ -125,17 +125,17 @@
   const size_t at_former = fleet.requestsAtRunners();
   CHECK(static_cast<double>(at_new) <=
         kTrialShare * static_cast<double>(at_new + at_former) + kTrialSlack);
-  // Also after all processes of the system ended and started again.
+  // This also holds after all processes of the system have restarted.
   fleet.restartGroup();
   for (size_t relay = 0; relay < kRelays; ++relay) {
     fleet.restartRelay(relay);
   }
   REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtRunners() > at_former + 100; }));
   CHECK(fleet.requestsAtNewRunners() == at_new);
-  CHECK(stateOf(fleet) == answerOf(RolloutState::RolledBack));
+  CHECK(rolloutState(fleet) == answerOf(RolloutState::RolledBack));
 }
 
-TEST_CASE("A leader that is lost in the middle of a rollout loses it, or its share") {
+TEST_CASE("A rollout, or the limit of its trial share, is lost when the leader crashes") {
   for (const bool good : {true, false}) {
     CAPTURE(good);
     TestFleet fleet(fleetWithNewRunners(good ? 18560 : 18580));
@@ -143,7 +143,7 @@
       fleet.newRunner(i).failOneOf(good ? 0 : 3);
     }
     SteadyCallers callers(fleet);
-    REQUIRE(begin(fleet, "s v2 6000") == http::Status::ok);
+    REQUIRE(beginRollout(fleet, "s v2 6000") == http::Status::ok);
     fleet.startNewRunners();
     REQUIRE(within(kTestTimeout, [&] { return fleet.requestsAtNewRunners() > 0; }));
     fleet.restartGroup();
@@ -151,16 +151,16 @@
     const auto at_all = at_new + static_cast<double>(fleet.requestsAtRunners());
     CHECK(at_new <= kTrialShare * at_all + kTrialSlack);
     const RolloutState end = good ? RolloutState::Succeeded : RolloutState::RolledBack;
-    CHECK(within(kTestTimeout, [&] { return stateOf(fleet) == answerOf(end); }));
+    CHECK(within(kTestTimeout, [&] { return rolloutState(fleet) == answerOf(end); }));
     callers.stop();
   }
 }
 
-TEST_CASE("Orders that make no sense are refused, and a service without a rollout is told so") {
+TEST_CASE("Invalid rollout orders are refused, and queries without a rollout get 404") {
   TestFleet fleet(fleetWithNewRunners(18540));
-  CHECK(begin(fleet, "nowhere v2 4000") == http::Status::bad_request);
-  CHECK(begin(fleet, "s v1 4000") == http::Status::bad_request);
-  CHECK(begin(fleet, "s v2 0") == http::Status::bad_request);
+  CHECK(beginRollout(fleet, "nowhere v2 4000") == http::Status::bad_request);
+  CHECK(beginRollout(fleet, "s v1 4000") == http::Status::bad_request);
+  CHECK(beginRollout(fleet, "s v2 0") == http::Status::bad_request);
   CHECK(fleet.operate(http::Verb::get, "/rollout/s").result() == http::Status::not_found);
   CHECK(fleet.operate(http::Verb::post, "/rollout/s").result() == http::Status::method_not_allowed);
 }
--- a/tests/unit/daemon/fleet/runner_notice_fleet_test.cc
+++ b/tests/unit/daemon/fleet/runner_notice_fleet_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What runners say of further requests, before a whole system whose processes end and start again.
+/// Tests that relays keep the notices of runners when processes restart and when the platform's
+/// list lacks the runners for a short time.
 #include <chrono>
 #include <string>
 
@@ -12,68 +13,69 @@
 namespace {
 
 constexpr size_t kRelays = 3;
-/// Requests after which a runner that wants some has had one of each relay.
-constexpr size_t kEnough = 40;
+/// Number of requests after which each relay has sent at least one to every available runner.
+constexpr size_t kRequests = 40;
 
-/// Sends requests to all relays in turn. @return how many were answered whole.
-size_t askAll(TestFleet& fleet, size_t requests) {
-  size_t whole = 0;
+/// Sends requests to all relays in turn. @return how many of them succeeded.
+size_t sendToAll(TestFleet& fleet, size_t requests) {
+  size_t succeeded = 0;
   for (size_t i = 0; i < requests; ++i) {
-    whole += fleet.sendRequest(i % kRelays, "hi").find("whole") != std::string::npos ? 1 : 0;
+    succeeded += fleet.sendRequest(i % kRelays, "hi").find("whole") != std::string::npos ? 1 : 0;
   }
-  return whole;
+  return succeeded;
 }
 
-/// @return whether all relays serve within kTestTimeout.
+/// @return whether all relays serve requests within the test's time limit.
 bool allServe(TestFleet& fleet) {
-  return within(kTestTimeout, [&] { return askAll(fleet, kRelays) == kRelays; });
+  return within(kTestTimeout, [&] { return sendToAll(fleet, kRelays) == kRelays; });
 }
 
 } // namespace
 
-TEST_CASE("A group that starts again lets relays forget what runners asked for") {
+TEST_CASE("Relays forget the notices of runners when the group restarts") {
   TestFleet fleet(FleetOptions{.relays = kRelays, .runners = 4, .first_port = 18600});
   fleet.runner(0).declineAll("W-Backoff: 600000\r\n");
   fleet.runner(1).setExtraHeaders("W-Leaving: 1\r\n");
   const size_t before_backoff = fleet.runner(0).requests();
   const size_t before_leaving = fleet.runner(1).requests();
-  // Each relay is told once; that request may be refused, since the budget of repeats begins empty.
-  CHECK(askAll(fleet, kEnough) >= kEnough - kRelays);
+  // Each relay receives each notice once. The declined request may be refused, since the retry
+  // budget is empty at the start.
+  CHECK(sendToAll(fleet, kRequests) >= kRequests - kRelays);
   CHECK(fleet.runner(0).requests() == before_backoff + kRelays);
   CHECK(fleet.runner(1).requests() == before_leaving + kRelays);
   fleet.restartGroup();
   REQUIRE(allServe(fleet));
-  CHECK(askAll(fleet, kEnough) == kEnough);
+  CHECK(sendToAll(fleet, kRequests) == kRequests);
   CHECK(fleet.runner(0).requests() == before_backoff + kRelays);
   CHECK(fleet.runner(1).requests() == before_leaving + kRelays);
-  // A relay's own process that starts again is told once more.
+  // A restarted relay receives each notice once more.
   fleet.restartRelay(0);
   REQUIRE(allServe(fleet));
-  CHECK(askAll(fleet, kEnough) >= kEnough - 1);
+  CHECK(sendToAll(fleet, kRequests) >= kRequests - 1);
   CHECK(fleet.runner(0).requests() <= before_backoff + kRelays + 1);
   CHECK(fleet.runner(1).requests() <= before_leaving + kRelays + 1);
 }
 
-TEST_CASE("A list that lacks runners for a moment lets relays forget what they asked for") {
+TEST_CASE("Relays forget the notices of runners that the list lacks for a short time") {
   TestFleet fleet(FleetOptions{.relays = kRelays, .runners = 4, .first_port = 18620});
   fleet.runner(0).declineAll("W-Backoff: 600000\r\n");
   fleet.runner(1).setExtraHeaders("W-Leaving: 1\r\n");
-  CHECK(askAll(fleet, kEnough) >= kEnough - kRelays);
+  CHECK(sendToAll(fleet, kRequests) >= kRequests - kRelays);
   const size_t at_backoff = fleet.runner(0).requests();
   const size_t at_leaving = fleet.runner(1).requests();
   const auto setListed = [&](bool listed) {
     for (const size_t number : {0, 1}) {
       fleet.runner(number).setListed(listed);
     }
-    // Known everywhere by then: a reading of the list, and its way to the relays.
+    // Long enough for the group to read the list and for all relays to receive it.
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(1500);
     while (std::chrono::steady_clock::now() < until) {
-      askAll(fleet, kRelays);
+      sendToAll(fleet, kRelays);
     }
   };
   setListed(false);
   setListed(true);
-  CHECK(askAll(fleet, kEnough) == kEnough);
+  CHECK(sendToAll(fleet, kRequests) == kRequests);
   CHECK(fleet.runner(0).requests() == at_backoff);
   CHECK(fleet.runner(1).requests() == at_leaving);
 }
--- a/tests/unit/daemon/fleet/test_fleet.h
+++ b/tests/unit/daemon/fleet/test_fleet.h
@@ -1,6 +1,6 @@
 /// @file
-/// A whole system on loopback in one process: a group of one replica, relays, the platform's list
-/// of runners, and runners that end when they run a certain request, or fail part of them.
+/// Fixture that runs a complete system on loopback in one process: a group of one replica, relays,
+/// the platform's list of runners, and runners that can crash, fail and decline.
 #pragma once
 
 #include <algorithm>
@@ -26,12 +26,12 @@
 
 namespace workshatch::test {
 
-/// A runner whose process ends, with all its connections and its listener, when it begins to run
-/// the request with a given body. Serves one connection at a time.
+/// A runner that crashes, closing its connection and its listener, when it starts to run a request
+/// with a given body. Serves one connection at a time.
 class CrashingRunner {
 public:
-  /// @param crash_body two bytes
-  /// @param restart_after when it starts again, at its address; zero: never
+  /// @param crash_body body of the requests that crash the runner; two bytes
+  /// @param restart_after time until it restarts at the same address; zero if it stays down
   explicit CrashingRunner(std::string crash_body, std::chrono::milliseconds restart_after = {})
       : acceptor_(context_, {boost::asio::ip::make_address("127.0.0.1"), 0}),
         endpoint_(acceptor_.local_endpoint()),
@@ -44,7 +44,7 @@
       stopping_ = true;
     }
     stop_.notify_all();
-    // Wakes the accept; refused when the runner has ended.
+    // Unblocks the accept call; the connection is refused if the runner has crashed.
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket wake(context);
     boost::system::error_code ignored;
@@ -55,28 +55,28 @@
   CrashingRunner& operator=(const CrashingRunner&) = delete;
 
   const std::string& address() const { return address_; }
-  /// From now on one of so many requests fails; zero: none.
+  /// Makes one of this many requests fail from now on; zero for none.
   void failOneOf(size_t requests) { fails_one_of_ = requests; }
-  /// From now on it declines all requests. @param more_headers of its answers, each with its line
-  /// end
+  /// Makes the runner decline all requests from now on. @param more_headers added to its responses,
+  /// each with its line end
   void declineAll(const std::string& more_headers) {
     const std::lock_guard lock(mutex_);
     declines_all_ = true;
     more_headers_ = more_headers;
   }
-  /// From now on its answers have more headers. @param more_headers each with its line end
+  /// Adds headers to all responses from now on. @param more_headers each with its line end
   void setExtraHeaders(const std::string& more_headers) {
     const std::lock_guard lock(mutex_);
     more_headers_ = more_headers;
   }
-  /// From now on the platform does not list it, or does again.
+  /// Sets whether the platform lists the runner.
   void setListed(bool listed) { listed_ = listed; }
   bool listed() const { return listed_; }
-  /// Requests that it has run or declined.
+  /// Number of requests that it has run or declined.
   size_t requests() const { return requests_; }
-  /// @return whether its process is gone now.
+  /// @return whether the runner is down.
   bool crashed() const { return crashed_; }
-  /// Times that its process ended.
+  /// Number of its crashes.
   size_t crashes() const { return crash_count_; }
 
 private:
@@ -93,7 +93,7 @@
         continue;
       }
       if (request.ends_with(crash_body_)) {
-        // Before the caller can see it.
+        // Set before the caller can observe the crash.
         crashed_ = true;
         ++crash_count_;
         acceptor_.close(failure);
@@ -106,7 +106,7 @@
       const size_t number = ++requests_;
       const size_t fails_one_of = fails_one_of_;
       const bool fails = fails_one_of != 0 && number % fails_one_of == 0;
-      // Each connection serves one request.
+      // Each connection serves only one request.
       writeTo(socket, answerTo(request, fails));
     }
   }
@@ -123,7 +123,7 @@
                         status + "\r\n" + more_headers_ + "Connection: close");
   }
 
-  /// @return false: it stays down.
+  /// Waits and restarts the listener. @return false if the runner stays down.
   bool startAgain() {
     std::unique_lock lock(mutex_);
     const bool stopped = stop_.wait_for(lock, restart_after_, [this] { return stopping_.load(); });
@@ -138,7 +138,7 @@
     return true;
   }
 
-  /// @return head and body; empty: none came whole.
+  /// @return head and body of a request; empty if none was received completely.
   static std::string readRequest(boost::asio::ip::tcp::socket& socket) {
     constexpr size_t kBodyBytes = 2;
     const std::string end_of_head = "\r\n\r\n";
@@ -148,10 +148,10 @@
     if (failure) {
       return "";
     }
-    const size_t whole = request.find(end_of_head) + end_of_head.size() + kBodyBytes;
-    if (request.size() < whole) {
+    const size_t request_bytes = request.find(end_of_head) + end_of_head.size() + kBodyBytes;
+    if (request.size() < request_bytes) {
       boost::asio::read(socket, boost::asio::dynamic_buffer(request),
-                        boost::asio::transfer_exactly(whole - request.size()), failure);
+                        boost::asio::transfer_exactly(request_bytes - request.size()), failure);
     }
     return failure ? "" : request;
   }
@@ -164,7 +164,7 @@
   const std::chrono::milliseconds restart_after_;
   std::mutex mutex_;
   std::condition_variable stop_;
-  /// Guarded by mutex_.
+  /// This member and the next are guarded by mutex_.
   bool declines_all_ = false;
   std::string more_headers_;
   std::atomic<bool> listed_{true};
@@ -176,7 +176,7 @@
   std::thread thread_;
 };
 
-/// Lists of runners as lines "id address version".
+/// Decodes lists of runners in the form of lines "id address version".
 class LinesCodec : public RunnerListCodec {
 public:
   std::string target(const std::string&) const override { return "/list"; }
@@ -201,16 +201,16 @@
 struct FleetOptions {
   size_t relays = 3;
   size_t runners = 12;
-  /// Runners of version "v2", which the platform lists once they are started.
+  /// Number of runners of version "v2", which the platform lists after `startNewRunners`.
   size_t new_runners = 0;
-  /// The first of some ports that no other test uses.
+  /// First of four consecutive ports that no other test may use.
   uint16_t first_port = 0;
-  /// When a runner that ended starts again; zero: never.
+  /// Time until a crashed runner restarts; zero if it stays down.
   std::chrono::milliseconds runners_restart_after{0};
   relay::Policy policy;
 };
 
-/// The processes of one system, each role on a worker of its own.
+/// The roles of one system, each with its own worker in place of its own process.
 class TestFleet {
 public:
   explicit TestFleet(const FleetOptions& options)
@@ -247,33 +247,33 @@
   TestFleet(const TestFleet&) = delete;
   TestFleet& operator=(const TestFleet&) = delete;
 
-  /// As if the group's process were killed and started again.
+  /// Simulates a crash and restart of the group's process.
   void restartGroup() {
     stopGroup();
     startGroup(false);
   }
-  /// As if a relay's process were killed and started again.
+  /// Simulates a crash and restart of a relay's process.
   void restartRelay(size_t relay) {
     relays_[relay]->workers.stop();
     relays_[relay].reset();
     relays_[relay] = startRelay(relay);
   }
 
-  /// Sends a request with a body of two bytes to a relay. @return the whole answer.
+  /// Sends a request with a body of two bytes to a relay. @return the complete response.
   std::string sendRequest(size_t relay, const std::string& body, const std::string& key = "key-1") {
-    // Each try has an id of its own.
+    // Each request has its own id.
     const std::string id = "q" + std::to_string(++tries_);
     return answerTo(requestText(CallerRequest{.id = id, .key = key, .body = body}),
                     callerAddress(relay));
   }
 
-  /// From now on the platform lists the runners of version "v2".
+  /// Makes the platform list the runners of version "v2" from now on.
   void startNewRunners() { new_runners_started_ = true; }
   CrashingRunner& newRunner(size_t number) { return *new_runners_[number]; }
   CrashingRunner& runner(size_t number) { return *runners_[number]; }
   size_t requestsAtNewRunners() const { return requestsAt(new_runners_); }
   size_t requestsAtRunners() const { return requestsAt(runners_); }
-  /// An operator's call. @return the answer; an empty body and status 0 without one.
+  /// Makes a call of an operator. @return the response; without one, an empty body and status 0.
   http::Response operate(http::Verb method, const std::string& target,
                          const std::string& body = "") const {
     auto answer = http::simpleCall(at(ipOf(0), 0), method, target, body, {});
@@ -286,16 +286,16 @@
     return static_cast<size_t>(std::count_if(runners_.begin(), runners_.end(),
                                              [](const auto& runner) { return runner->crashed(); }));
   }
-  /// Times that processes of runners ended.
+  /// Number of crashes of all runners.
   size_t runnerCrashes() const {
-    size_t ends = 0;
+    size_t crashes = 0;
     for (const auto& runner : runners_) {
-      ends += runner->crashes();
+      crashes += runner->crashes();
     }
-    return ends;
+    return crashes;
   }
   size_t relayCount() const { return relays_.size(); }
-  /// @return whether the metrics of a relay hold a line.
+  /// @return whether the metrics of a relay contain a line.
   bool metricsHave(size_t relay, const std::string& line) const {
     const auto text = http::simpleGet(metricsAddress(relay), "/metrics");
     return !isError(text) && std::get<std::string>(text).find(line + "\n") != std::string::npos;
@@ -319,7 +319,7 @@
     return requests;
   }
 
-  /// Each process has an address of its own, as on machines of its own.
+  /// Each role has its own IP address, as if it ran on its own machine.
   static std::string ipOf(size_t process) { return "127.0.0." + std::to_string(process + 1); }
   std::string at(const std::string& ip, uint16_t port) const {
     return ip + ":" + std::to_string(first_port_ + port);
--- a/tests/unit/daemon/memory_store.h
+++ b/tests/unit/daemon/memory_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// A replica's disk in memory, which a test may fill or hang.
+/// In-memory log store of a replica, in which a test can simulate a full or hanging disk.
 #pragma once
 
 #include <atomic>
@@ -8,7 +8,8 @@
 
 namespace workshatch::test {
 
-/// A disk in memory that outlives its replica.
+/// Keeps the log and the hard state of one replica in memory. Outlives the replica, so that another
+/// one can be started from it.
 class MemoryStore : public LogStore {
 public:
   explicit MemoryStore(uint64_t id) : id_(id) {}
@@ -44,15 +45,15 @@
     return std::monostate{};
   }
 
-  /// Ends a hang.
+  /// Ends a simulated hang.
   void resume() {
     hanging = false;
     hanging.notify_all();
   }
 
-  /// Writes are refused.
+  /// While true, writes fail.
   std::atomic<bool> full{false};
-  /// Writes do not return.
+  /// While true, writes block.
   std::atomic<bool> hanging{false};
 
 private:
--- a/tests/unit/daemon/open_calls_test.cc
+++ b/tests/unit/daemon/open_calls_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Each call gets one outcome, whoever answers or ends first.
+/// Tests that each call gets exactly one outcome, whether it is answered or refused first.
 #include <atomic>
 #include <string>
 #include <thread>
@@ -19,7 +19,7 @@
 using daemon::OpenCalls;
 using daemon::ReplyCallback;
 
-/// Keeps the outcomes of one call.
+/// Records the outcomes of one call.
 struct Caller {
   std::vector<std::string> replies;
   int refusals = 0;
@@ -49,7 +49,7 @@
   CHECK(calls.counts().answered == 1);
 }
 
-TEST_CASE("A call that is open at the end is refused, and its late answer does nothing") {
+TEST_CASE("A call that is open at the end is refused, and a late answer has no effect") {
   OpenCalls calls;
   Caller caller;
   const ReplyCallback<std::string> answer = calls.accept<std::string>(caller.callback());
@@ -60,7 +60,7 @@
   CHECK(calls.counts().refused == 1);
 }
 
-TEST_CASE("A call that comes after the end is refused at once") {
+TEST_CASE("A call that arrives after the end is refused at once") {
   OpenCalls calls;
   calls.end();
   Caller caller;
@@ -70,7 +70,7 @@
   CHECK(caller.replies.empty());
 }
 
-TEST_CASE("Calls are refused for a while, and taken again, but not after the end") {
+TEST_CASE("Calls can be refused temporarily, but are never accepted again after the end") {
   OpenCalls calls;
   Caller caller;
   const ReplyCallback<std::string> open = calls.accept<std::string>(caller.callback());
@@ -89,7 +89,7 @@
   CHECK(caller.refusals == 3);
 }
 
-TEST_CASE("A way to answer may outlive the calls that it belongs to") {
+TEST_CASE("The answer function may be used after the OpenCalls object is destroyed") {
   Caller caller;
   ReplyCallback<std::string> answer;
   {
@@ -100,7 +100,7 @@
   CHECK(caller.replies == std::vector<std::string>{"after"});
 }
 
-TEST_CASE("Calls taken are calls answered and calls refused when threads answer while it ends") {
+TEST_CASE("Each call is counted as answered or refused when the end races with answers") {
   constexpr int kRounds = 200;
   constexpr int kThreads = 4;
   constexpr int kCallsPerThread = 50;
--- a/tests/unit/daemon/relay/active_request_test.cc
+++ b/tests/unit/daemon/relay/active_request_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What a caller and the runners see of one request: at most one run, whole answers, true refusals.
+/// Tests of serving one request, from the view of its caller and of the runners: runs at most once,
+/// only complete responses, and correct refusals.
 #include <future>
 #include <memory>
 #include <vector>
@@ -15,34 +16,34 @@
 
 namespace {
 
-/// The datagrams of a relay, and what it asks of the owners of runners.
-struct Places {
+/// A relay's datagram transport and its client for slots.
+struct SlotSetup {
   std::shared_ptr<daemon::RelayPeers> peers;
   std::shared_ptr<daemon::SlotClient> client;
 };
 
-/// @param address for datagrams
-Places placesAt(TestRelay& relay, const std::string& address, uint32_t incarnation,
-                daemon::SlotClient::RunnerSource runner_source) {
-  Places places;
-  places.peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
-  REQUIRE_FALSE(isError(places.peers->open(address)));
-  places.client = std::make_shared<daemon::SlotClient>(places.peers, relay.state().clock,
-                                                       incarnation, std::move(runner_source));
-  return places;
+/// @param address for the relay's datagrams
+SlotSetup makeSlotSetup(TestRelay& relay, const std::string& address, uint32_t incarnation,
+                        daemon::SlotClient::RunnerSource runner_source) {
+  SlotSetup slots;
+  slots.peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
+  REQUIRE_FALSE(isError(slots.peers->open(address)));
+  slots.client = std::make_shared<daemon::SlotClient>(slots.peers, relay.state().clock, incarnation,
+                                                      std::move(runner_source));
+  return slots;
 }
 
-/// Makes the relay the owner of all runners. @param address for its datagrams
-Places ownPlaces(TestRelay& relay, const std::string& address) {
-  Places places =
-      placesAt(relay, address, 1, [](uint64_t) { return relay::OwnedRunner{.listed = true}; });
-  places.peers->setRelays({address});
-  relay.state().slot_client = places.client;
-  return places;
+/// Makes the relay the owner of all runners. @param address for the relay's datagrams
+SlotSetup ownAllSlots(TestRelay& relay, const std::string& address) {
+  SlotSetup slots =
+      makeSlotSetup(relay, address, 1, [](uint64_t) { return relay::OwnedRunner{.listed = true}; });
+  slots.peers->setRelays({address});
+  relay.state().slot_client = slots.client;
+  return slots;
 }
 
-/// Takes all three places that a plain service's only runner has for its one worker.
-std::vector<daemon::SlotGuard> takeThree(TestRelay& relay) {
+/// Takes all three slots of the only runner: a plain service has three slots for each worker.
+std::vector<daemon::SlotGuard> takeAllSlots(TestRelay& relay) {
   const uint64_t fingerprint = relay.state().runners.runners()[0]->fingerprint;
   std::vector<daemon::SlotGuard> taken;
   for (int i = 0; i < 3; ++i) {
@@ -53,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("A request reaches the runner without the key, with tenant, target and time left") {
+TEST_CASE("A runner gets the request without its key, with tenant, target and remaining time") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
@@ -76,7 +77,7 @@
   CHECK(std::stoi(request.substr(deadline + 12)) <= 2000);
 }
 
-TEST_CASE("Headers that only the system may set never come from a caller") {
+TEST_CASE("Headers that only the system may set are removed from callers' requests") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
@@ -89,7 +90,7 @@
   CHECK(runner.lastRequest().find("W-Runner: runner-1\r\n") != std::string::npos);
 }
 
-TEST_CASE("A request without a known key, route or id is refused before any runner") {
+TEST_CASE("A request without a known key, route or id is refused and not sent to any runner") {
   ScriptedRunner runner([](auto&, const auto&) {});
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
@@ -99,22 +100,22 @@
   CHECK(runner.requests() == 0);
 }
 
-TEST_CASE("A caller's patience that is no time leaves its request without an answer") {
+TEST_CASE("A request with an invalid timeout header gets no answer") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   relay.start();
-  for (const char* patience : {"inf", "nan", "1e300", "-5", "soon"}) {
-    CAPTURE(patience);
+  for (const char* timeout : {"inf", "nan", "1e300", "-5", "soon"}) {
+    CAPTURE(timeout);
     const std::string answer = relay.send(
         "POST /work HTTP/1.1\r\nHost: h.example\r\nW-Request: q1\r\nW-Key: key-1\r\nW-Deadline: " +
-        std::string(patience) + "\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi");
+        std::string(timeout) + "\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi");
     CHECK(answer.ends_with("done"));
   }
 }
 
-TEST_CASE("A request that may run once is not sent again after it may have run") {
+TEST_CASE("A non-repeatable request is not sent again after it may have run") {
   ScriptedRunner breaking([](auto& socket, const auto&) { socket.close(); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 3));
   relay.addRunner("runner-1", breaking.address());
@@ -124,7 +125,7 @@
   CHECK(breaking.requests() == 1);
 }
 
-TEST_CASE("A runner that declined is followed by another; all declining is a true refusal") {
+TEST_CASE("A declined request is sent to another runner, and is refused if all runners decline") {
   const std::string declined =
       "HTTP/1.1 503 Full\r\nW-Request: q1\r\nW-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
   ScriptedRunner full([&](auto& socket, const auto&) { writeTo(socket, declined); });
@@ -140,11 +141,11 @@
   CHECK(relay.sendRequest("q1").ends_with("done"));
 }
 
-TEST_CASE("A request that finds all runners full is refused at once, unheard") {
+TEST_CASE("A request is refused at once, and not sent, if all runners are full") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   relay::Route route = testRoute(RouteKind::RunOnce, 1);
-  // A wait would last for a fifth of this.
+  // A wait would take a fifth of this time.
   route.objective_ms = 60'000;
   TestRelay relay(route);
   relay.addRunner("runner-1", runner.address(), 1);
@@ -155,46 +156,46 @@
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("Retry-After") != std::string::npos);
   CHECK(refused.find("all_full") != std::string::npos);
-  // One that had waited would have ended at its time limit.
+  // A request that waited would have ended at its time limit, with another outcome.
   CHECK(relay.state().stats.outcomes["all_full"] == 1);
   CHECK(runner.requests() == 0);
   boost::asio::post(relay.context(), [&] { busy->in_progress = 2; });
   CHECK(relay.sendRequest("q1").ends_with("done"));
 }
 
-TEST_CASE("A place is taken at the owner before a request is sent, and given back at its end") {
+TEST_CASE("A slot is claimed from its owner before a request is sent, and released at its end") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address(), 1);
-  const auto places = ownPlaces(relay, "127.0.0.1:18303");
-  std::vector<daemon::SlotGuard> taken = takeThree(relay);
+  const auto slots = ownAllSlots(relay, "127.0.0.1:18303");
+  std::vector<daemon::SlotGuard> taken = takeAllSlots(relay);
   relay.start();
   const std::string refused = relay.sendRequest("q1");
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("all_full") != std::string::npos);
   CHECK(runner.requests() == 0);
-  // The places belong to the relay's event loop.
-  std::promise<void> given_back;
+  // Slots must be released on the relay's event loop.
+  std::promise<void> released;
   boost::asio::post(relay.context(), [&] {
     taken.clear();
-    given_back.set_value();
+    released.set_value();
   });
-  given_back.get_future().wait();
+  released.get_future().wait();
   CHECK(relay.sendRequest("q1").find("done") != std::string::npos);
   CHECK(relay.sendRequest("q1").find("done") != std::string::npos);
-  CHECK(places.client->counts().granted == 2);
-  CHECK(places.client->counts().refused == 1);
+  CHECK(slots.client->counts().granted == 2);
+  CHECK(slots.client->counts().refused == 1);
 }
 
-TEST_CASE("With a waiting line a request waits a little for a place, and is then refused unheard") {
+TEST_CASE("With queueing enabled a request waits briefly for a slot, and is then refused") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   relay::Route route = testRoute(RouteKind::RunOnce, 1);
   route.objective_ms = 1000;
   TestRelay relay(route, relay::Policy{.waiting_line = true});
   relay.addRunner("runner-1", runner.address(), 1);
-  // A plain service may have three requests for each place.
+  // A plain service may have three requests in progress per worker.
   const auto busy = relay.state().runners.runners()[0];
   busy->in_progress = 3;
   relay.start();
@@ -206,48 +207,48 @@
   CHECK(refused.find("all_full") != std::string::npos);
   CHECK(runner.requests() == 0);
   CHECK(waited >= std::chrono::milliseconds(150));
-  // Once a place is free, the one that waits is called.
+  // When a slot becomes free, the queued request is resumed.
   boost::asio::post(relay.context(), [&] { busy->in_progress = 3; });
-  boost::asio::steady_timer free_place(relay.context(), std::chrono::milliseconds(50));
-  free_place.async_wait([&](boost::system::error_code) {
+  boost::asio::steady_timer free_slot(relay.context(), std::chrono::milliseconds(50));
+  free_slot.async_wait([&](boost::system::error_code) {
     busy->in_progress = 2;
     relay.state().queue.wakeNext("s");
   });
   CHECK(relay.sendRequest("q1").ends_with("done"));
 }
 
-TEST_CASE("A request that waited asks the owners from the first again") {
+TEST_CASE("A request that waited in the queue claims slots from all owners again") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   relay::Route route = testRoute(RouteKind::RunOnce, 1);
-  // It waits for a fifth of this at most.
+  // The request waits for at most a fifth of this time.
   route.objective_ms = 10'000;
   TestRelay relay(route, relay::Policy{.waiting_line = true});
   relay.addRunner("runner-1", runner.address(), 1);
-  const auto places = ownPlaces(relay, "127.0.0.1:18304");
-  std::vector<daemon::SlotGuard> taken = takeThree(relay);
+  const auto slots = ownAllSlots(relay, "127.0.0.1:18304");
+  std::vector<daemon::SlotGuard> taken = takeAllSlots(relay);
   relay.start();
-  std::thread frees([&] {
-    // Once the request waits, a place becomes free and the first in line is called.
+  std::thread releaser([&] {
+    // Once the request waits, a slot becomes free and the first queued request is resumed.
     std::atomic<bool> waits{false};
     while (!waits) {
-      std::promise<void> looked;
+      std::promise<void> checked;
       boost::asio::post(relay.context(), [&] {
         waits = relay.state().queue.length("s") == 1;
         if (waits) {
           taken.pop_back();
           relay.state().queue.wakeNext("s");
         }
-        looked.set_value();
+        checked.set_value();
       });
-      looked.get_future().wait();
+      checked.get_future().wait();
     }
   });
   CHECK(relay.sendRequest("q1").find("done") != std::string::npos);
-  frees.join();
+  releaser.join();
 }
 
-TEST_CASE("A repeatable request goes on to another runner after a failure") {
+TEST_CASE("A repeatable request is sent to another runner after a failure") {
   ScriptedRunner failing([](auto& socket, const auto&) {
     writeTo(socket, signedAnswer("q1", "bad", "500 Internal Server Error"));
   });
@@ -262,7 +263,7 @@
   }
 }
 
-TEST_CASE("The failure of a runner goes back as it is when nothing else may be tried") {
+TEST_CASE("A runner's error response is relayed unchanged if no other attempt is permitted") {
   ScriptedRunner failing([](auto& socket, const auto&) {
     writeTo(socket, signedAnswer("q1", "bad", "500 Internal Server Error"));
   });
@@ -275,7 +276,7 @@
   CHECK(answer.ends_with("bad"));
 }
 
-TEST_CASE("An answer of another request, cut short or unsigned never reaches a caller") {
+TEST_CASE("A response to another request, or one truncated or unsigned, never reaches a caller") {
   std::string bytes;
   SUBCASE("of another request") { bytes = signedAnswer("other", "done"); }
   SUBCASE("cut short") {
@@ -284,17 +285,17 @@
   }
   SUBCASE("unsigned") { bytes = "HTTP/1.1 200 OK\r\nW-Request: q1\r\nContent-Length: 0\r\n\r\n"; }
   SUBCASE("not HTTP") { bytes = "nonsense\r\n\r\n"; }
-  ScriptedRunner spoiling([&](auto& socket, const auto&) {
+  ScriptedRunner faulty([&](auto& socket, const auto&) {
     writeTo(socket, bytes);
     socket.close();
   });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
-  relay.addRunner("runner-1", spoiling.address());
+  relay.addRunner("runner-1", faulty.address());
   relay.start();
   CHECK(relay.sendRequest("q1").starts_with("HTTP/1.1 502"));
 }
 
-TEST_CASE("A stream reaches the caller by whole events and ends only as its runner ended it") {
+TEST_CASE("A caller gets complete events only, and no proper end of a stream that broke") {
   ScriptedRunner breaking([](auto& socket, const auto&) {
     writeTo(socket, streamHead("q1") + chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n"));
     socket.close();
@@ -308,7 +309,7 @@
   CHECK_FALSE(answer.ends_with(kLastChunk));
 }
 
-TEST_CASE("A resumable stream goes on at another runner after its last whole event") {
+TEST_CASE("A resumable stream continues at another runner after its last complete event") {
   ScriptedRunner breaking([](auto& socket, const auto& request) {
     if (request.find("Last-Event-Id: 1") != std::string::npos) {
       writeTo(socket, streamHead("q1") + chunk("id: 2\ndata: b\n\n") + kLastChunk);
@@ -328,7 +329,7 @@
   CHECK(breaking.requests() == 2);
 }
 
-TEST_CASE("A runner that can't be reached costs nothing: another is tried") {
+TEST_CASE("Another runner is tried if a runner can't be reached, without a failed request") {
   ScriptedRunner working(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
@@ -340,21 +341,22 @@
   }
 }
 
-TEST_CASE("Nothing is sent to a runner whose zone is evacuated between the place and the send") {
+TEST_CASE("Nothing is sent to a runner whose zone is evacuated after its slot was granted") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   v1::EvacuationList evacuations;
   std::atomic<int> claims{0};
-  // The order reaches this relay while the owner, which does not know it yet, grants its claim.
-  const Places owner = placesAt(relay, "127.0.0.1:18307", 2, [&](uint64_t) {
+  // The evacuation order reaches this relay while the owner, which does not have the order yet,
+  // grants the claim.
+  const SlotSetup owner = makeSlotSetup(relay, "127.0.0.1:18307", 2, [&](uint64_t) {
     ++claims;
     relay.state().runners.setEvacuations(evacuations, 1);
     return relay::OwnedRunner{.listed = true};
   });
-  const Places places = ownPlaces(relay, "127.0.0.1:18308");
-  places.peers->setRelays({"127.0.0.1:18307"});
+  const SlotSetup slots = ownAllSlots(relay, "127.0.0.1:18308");
+  slots.peers->setRelays({"127.0.0.1:18307"});
   relay.start();
   CHECK(relay.sendRequest("q1").ends_with("done"));
   CHECK(claims == 1);
@@ -362,30 +364,30 @@
   evacuations.add_zones()->set_zone("z");
   const std::string answer = relay.sendRequest("q1");
   CHECK(claims == 2);
-  CHECK(places.client->counts().granted == 2);
+  CHECK(slots.client->counts().granted == 2);
   CHECK(answer.starts_with("HTTP/1.1 503"));
   CHECK(answer.find("not-run") != std::string::npos);
   CHECK(runner.requests() == 1);
 }
 
-TEST_CASE(
-    "Nothing is sent to a runner whose zone is evacuated while a source of parts is asked for") {
+TEST_CASE("Nothing is sent to a runner whose zone is evacuated during a prefix source lookup") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
   v1::EvacuationList evacuations;
-  std::atomic<int> questions{0};
-  // The relay that counts parts: the order reaches the asking relay just before its answer.
-  const auto counting = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
-  REQUIRE_FALSE(isError(counting->open("127.0.0.1:18309")));
-  counting->onFrame(v1::Frame::kPartQuestion, [&](const v1::Frame& frame, const std::string& from) {
-    ++questions;
+  std::atomic<int> lookups{0};
+  // The owner of the prefix. The evacuation order reaches the relay under test just before its
+  // answer.
+  const auto owner = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
+  REQUIRE_FALSE(isError(owner->open("127.0.0.1:18309")));
+  owner->onFrame(v1::Frame::kPartQuestion, [&](const v1::Frame& frame, const std::string& from) {
+    ++lookups;
     relay.state().runners.setEvacuations(evacuations, 1);
     v1::Frame answer;
     answer.mutable_part_answer()->set_sequence(frame.part_question().sequence());
     answer.mutable_part_answer()->set_known(true);
-    counting->send(from, answer);
+    owner->send(from, answer);
   });
   const auto peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
   REQUIRE_FALSE(isError(peers->open("127.0.0.1:18310")));
@@ -394,28 +396,28 @@
   peers->setRelays({"127.0.0.1:18309"});
   relay.start();
   CHECK(relay.sendRequest("q1", "W-Parts: two\r\n").ends_with("done"));
-  CHECK(questions == 1);
+  CHECK(lookups == 1);
   evacuations.set_version(4);
   evacuations.add_zones()->set_zone("z");
   const std::string answer = relay.sendRequest("q1", "W-Parts: two\r\n");
-  CHECK(questions == 2);
+  CHECK(lookups == 2);
   CHECK(answer.starts_with("HTTP/1.1 503"));
   CHECK(answer.find("not-run") != std::string::npos);
   CHECK(runner.requests() == 1);
 }
 
-TEST_CASE("A caller that hangs up ends the run at its runner") {
-  std::atomic<bool> runner_saw_end{false};
+TEST_CASE("The connection to the runner is closed when the caller disconnects") {
+  std::atomic<bool> runner_saw_close{false};
   std::atomic<bool> runner_has_request{false};
   ScriptedRunner waiting([&](auto& socket, const auto&) {
     runner_has_request = true;
     char byte = 0;
     boost::system::error_code failure;
-    // The body, then the end of the connection.
+    // Reads the body, then waits for the connection to close.
     while (!failure) {
       socket.read_some(boost::asio::buffer(&byte, 1), failure);
     }
-    runner_saw_end = true;
+    runner_saw_close = true;
   });
   TestRelay relay(testRoute(RouteKind::Streaming, 1));
   relay.addRunner("runner-1", waiting.address());
@@ -430,13 +432,13 @@
     }
   }
   const auto limit = std::chrono::steady_clock::now() + std::chrono::milliseconds(500);
-  while (!runner_saw_end && std::chrono::steady_clock::now() < limit) {
+  while (!runner_saw_close && std::chrono::steady_clock::now() < limit) {
     std::this_thread::yield();
   }
-  CHECK(runner_saw_end);
+  CHECK(runner_saw_close);
 }
 
-TEST_CASE("At the time limit the caller gets its final answer") {
+TEST_CASE("The caller gets its final response at the time limit") {
   std::atomic<bool> over{false};
   ScriptedRunner silent([&](auto& socket, const auto&) {
     char bytes[64];
@@ -456,7 +458,7 @@
   CHECK(std::chrono::steady_clock::now() - begin < std::chrono::milliseconds(350));
 }
 
-TEST_CASE("Without a lease a request with a key is refused with 503, not run") {
+TEST_CASE("Without a lease a request with a key is refused with 503 and not run") {
   ScriptedRunner runner([](auto&, const auto&) {});
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", runner.address());
@@ -469,7 +471,7 @@
   CHECK(runner.requests() == 0);
 }
 
-TEST_CASE("A relay that was out of touch for a while serves what it knows and denies nothing") {
+TEST_CASE("With an old lease known routes and keys are served, and unknown ones get 503") {
   ScriptedRunner runner(
       [](auto& socket, const auto&) { writeTo(socket, signedAnswer("q1", "done")); });
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
--- a/tests/unit/daemon/relay/control_link_test.cc
+++ b/tests/unit/daemon/relay/control_link_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// How a relay seeks the leader: bounded attempts while nobody answers.
+/// Tests of a relay's link to the leader: the bounded rate of connection attempts while searching,
+/// and the renewal period.
 #include <chrono>
 
 #include <boost/asio/io_context.hpp>
@@ -12,7 +13,7 @@
 
 namespace workshatch::test {
 
-TEST_CASE("Replicas that each name the other as the leader are asked a bounded number of times") {
+TEST_CASE("Two replicas that name each other as the leader get a bounded number of renewals") {
   boost::asio::io_context context;
   const SystemClock clock;
   int renewals = 0;
@@ -45,14 +46,14 @@
   daemon::ControlLink control(context, clock, {"127.0.0.1:18251"}, renewal,
                               [](const v1::LeaseReply&) {});
   control.start();
-  // Ten steps of 80 ms, three attempts each.
+  // Ten steps of 80 ms with three connection attempts each.
   context.run_for(std::chrono::milliseconds(800));
   CHECK(renewals > 3);
   CHECK(renewals <= 40);
   control.stop();
 }
 
-TEST_CASE("A relay renews as often as the leader tells, up to a bound") {
+TEST_CASE("A relay uses the renewal period that the leader sets, up to a maximum") {
   boost::asio::io_context context;
   const SystemClock clock;
   int renewals = 0;
@@ -66,7 +67,7 @@
           v1::Frame answer;
           answer.mutable_lease()->set_sequence(frame.renewal().sequence());
           answer.mutable_lease()->set_confirmed(true);
-          // Far more than the bound of 1.2 s.
+          // Far above the maximum of 1.2 s.
           answer.mutable_lease()->set_renew_period_ms(60'000);
           if (const auto from = weak.lock()) {
             from->send(answer);
@@ -85,7 +86,7 @@
   control.start();
   const auto first_second = std::chrono::milliseconds(1000);
   context.run_for(first_second);
-  // The first at once, another at the step that was due before the answer came.
+  // One immediately, and one at a step that was due before the reply arrived.
   CHECK(renewals <= 2);
   const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
   while (renewals < 3 && std::chrono::steady_clock::now() < limit) {
--- a/tests/unit/daemon/relay/lease_wait_test.cc
+++ b/tests/unit/daemon/relay/lease_wait_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that come to a relay before its first lease.
+/// Tests of the wait of requests that arrive before the relay's first lease.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <doctest/doctest.h>
@@ -12,54 +12,53 @@
 
 namespace {
 
-http::Request requestWithPatience(const std::string& patience_ms) {
+http::Request requestWithTimeout(const std::string& timeout_ms) {
   http::Request request(http::Verb::post, "/work", 11);
-  request.set("W-Deadline", patience_ms);
+  request.set("W-Deadline", timeout_ms);
   return request;
 }
 
 } // namespace
 
-TEST_CASE(
-    "Until the first lease is due a request waits, for a small part of its caller's patience") {
+TEST_CASE("A request waits for the first lease for at most a small part of its caller's timeout") {
   CHECK(relay::firstLeaseWaitMs(0, 12'000) == 360);
   CHECK(relay::firstLeaseWaitMs(500, 12'000) == 100);
   CHECK(relay::firstLeaseWaitMs(0, 600) == 18);
-  // A lease that is overdue is not waited for, nor one for a caller that tells no patience.
+  // There is no wait if the lease is overdue, or if the caller gives no timeout.
   CHECK(relay::firstLeaseWaitMs(600, 12'000) == 0);
   CHECK(relay::firstLeaseWaitMs(5'000, 12'000) == 0);
   CHECK(relay::firstLeaseWaitMs(0, 0) == 0);
 }
 
-TEST_CASE("A relay that has had a lease lets nobody wait for one") {
+TEST_CASE("Requests do not wait at a relay that has had a lease") {
   const SystemClock clock;
   const TestDialect dialect;
   daemon::RelayState state(settings::RelaySettings{}, clock, dialect);
-  const http::Request request = requestWithPatience("12000");
+  const http::Request request = requestWithTimeout("12000");
   CHECK(daemon::leaseWaitMs(request, state, state.started_ms) == 360);
-  CHECK(daemon::leaseWaitMs(requestWithPatience("soon"), state, state.started_ms) == 0);
+  CHECK(daemon::leaseWaitMs(requestWithTimeout("soon"), state, state.started_ms) == 0);
   state.lease.confirmed(state.lease.renewalSent(clock.monotonicMs()));
   CHECK(daemon::leaseWaitMs(request, state, state.started_ms) == 0);
 }
 
-TEST_CASE("The lease wakes all that wait for it, and those over the bound do not wait") {
+TEST_CASE("The lease resumes all waiting requests, and requests above the maximum do not wait") {
   constexpr std::chrono::hours kLong{1};
-  constexpr int kAsked = 400;
+  constexpr int kRequests = 400;
   boost::asio::io_context context;
   daemon::LeaseWait lease_wait(context);
-  int ended = 0;
-  const auto ask = [&]() -> boost::asio::awaitable<void> {
+  int finished = 0;
+  const auto waiter = [&]() -> boost::asio::awaitable<void> {
     co_await lease_wait.wait(kLong);
-    ++ended;
+    ++finished;
   };
-  for (int i = 0; i < kAsked; ++i) {
-    boost::asio::co_spawn(context, ask(), boost::asio::detached);
+  for (int i = 0; i < kRequests; ++i) {
+    boost::asio::co_spawn(context, waiter(), boost::asio::detached);
   }
   context.poll();
-  CHECK(ended == kAsked - 300);
+  CHECK(finished == kRequests - 300);
   lease_wait.wakeAll();
   context.run();
-  CHECK(ended == kAsked);
+  CHECK(finished == kRequests);
 }
 
 } // namespace workshatch::test
--- a/tests/unit/daemon/relay/relay_fixture.h
+++ b/tests/unit/daemon/relay/relay_fixture.h
@@ -1,5 +1,6 @@
 /// @file
-/// One relay's request handling on loopback, with runners whose answers a test scripts.
+/// Fixture that runs one relay's request handling on loopback, with runners whose behavior a test
+/// scripts.
 #pragma once
 
 #include <algorithm>
@@ -29,7 +30,7 @@
 
 namespace workshatch::test {
 
-/// @return whether the condition came true within the limit.
+/// Polls a condition. @return whether it became true within the limit.
 template <typename Condition> bool within(std::chrono::milliseconds limit, Condition condition) {
   const auto end = std::chrono::steady_clock::now() + limit;
   while (!condition() && std::chrono::steady_clock::now() < end) {
@@ -56,8 +57,8 @@
          "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body;
 }
 
-/// Sends bytes on a connection of their own. @return everything that comes until it ends; empty:
-/// nobody listens.
+/// Sends bytes on a new connection. @return everything received until it is closed; empty if
+/// nothing listens at the address.
 inline std::string answerTo(const std::string& bytes, const std::string& address) {
   boost::asio::io_context context;
   boost::asio::ip::tcp::socket socket(context);
@@ -69,7 +70,7 @@
   return answer;
 }
 
-/// Names of this project's own, unlike those of any platform.
+/// A dialect for tests, whose names differ from those of every real platform.
 class TestDialect : public RelayDialect {
 public:
   const HeaderNames& headers() const override {
@@ -108,30 +109,31 @@
     return std::nullopt;
   }
   std::optional<RolloutCall> parseRolloutCall(std::string_view path) const override {
-    constexpr std::string_view kAsk = "/rollout/";
+    constexpr std::string_view kQueryPrefix = "/rollout/";
     if (path == "/roll-out") {
       return RolloutCall{.begin = true};
     }
-    return path.starts_with(kAsk)
-               ? std::optional(RolloutCall{.service = std::string(path.substr(kAsk.size()))})
+    return path.starts_with(kQueryPrefix)
+               ? std::optional(
+                     RolloutCall{.service = std::string(path.substr(kQueryPrefix.size()))})
                : std::nullopt;
   }
   /// The body is "SERVICE VERSION MILLISECONDS".
   Result<RolloutRequest> parseRolloutRequest(std::string_view body) const override {
     std::istringstream words{std::string(body)};
-    RolloutRequest wish;
-    words >> wish.service >> wish.target_version >> wish.duration_ms;
-    return words && wish.duration_ms > 0 ? Result<RolloutRequest>(wish) : Error{"no wish"};
+    RolloutRequest order;
+    words >> order.service >> order.target_version >> order.duration_ms;
+    return words && order.duration_ms > 0 ? Result<RolloutRequest>(order) : Error{"invalid order"};
   }
   std::string rolloutStatusBody(RolloutState state,
                                 const std::string& target_version) const override {
     return std::to_string(static_cast<int>(state)) + " " + target_version;
   }
-  /// Any value names two parts.
+  /// Any value stands for two prompt parts, the first of which is shared.
   std::vector<PrefixBlock> parsePrefixBlocks(std::string_view) const override {
     return {PrefixBlock{.id = "shared", .tokens = 1}, PrefixBlock{.id = "own", .tokens = 1}};
   }
-  /// Times are whole milliseconds.
+  /// Times are integers in milliseconds.
   relay::RunnerNotice parseRunnerNotice(const ResponseHead& head) const override {
     const auto timeOf = [&head](std::string_view name) {
       const auto value = head.field(name);
@@ -149,26 +151,27 @@
   }
 };
 
-/// Time of the machine, which a test may let sleep: the process stands still and its timers with
-/// it, and time has passed when it goes on. Safe for concurrent use.
+/// The system clock of a machine that a test can suspend: the clock jumps ahead, while the timers
+/// of the process do not advance. Safe for concurrent use.
 class SuspendableClock : public Clock {
 public:
-  void sleepFor(int64_t milliseconds) { slept_ms_ += milliseconds; }
-  int64_t monotonicMs() const override { return clock_.monotonicMs() + slept_ms_; }
+  void sleepFor(int64_t milliseconds) { suspended_ms_ += milliseconds; }
+  int64_t monotonicMs() const override { return clock_.monotonicMs() + suspended_ms_; }
   uint64_t wallMs() const override {
-    return clock_.wallMs() + static_cast<uint64_t>(slept_ms_.load());
+    return clock_.wallMs() + static_cast<uint64_t>(suspended_ms_.load());
   }
 
 private:
   const SystemClock clock_{};
-  std::atomic<int64_t> slept_ms_{0};
+  std::atomic<int64_t> suspended_ms_{0};
 };
 
-/// A runner: takes connections one after another, reads a request on each and does as scripted.
+/// A runner that accepts one connection at a time, reads a request on it and runs the script.
 class ScriptedRunner {
 public:
   using Socket = boost::asio::ip::tcp::socket;
-  /// Runs on the runner's thread with the request's head and body.
+  /// Runs on the runner's thread. `request` has the head of the request, and as much of the body as
+  /// was received with it.
   using Script = std::function<void(Socket&, const std::string& request)>;
 
   explicit ScriptedRunner(Script script)
@@ -176,7 +179,7 @@
         script_(std::move(script)), thread_([this] { serve(); }) {}
   ~ScriptedRunner() {
     stopping_ = true;
-    // Wakes the accept.
+    // Unblocks the accept call.
     boost::asio::io_context context;
     Socket wake(context);
     boost::system::error_code ignored;
@@ -226,14 +229,14 @@
   boost::asio::write(socket, boost::asio::buffer(bytes), ignored);
 }
 
-/// @return the id of a request as a runner gets it.
+/// @return the request id in a request that a runner received.
 inline std::string requestIdOf(const std::string& request) {
   const std::string name = "W-Request: ";
   const size_t begin = request.find(name) + name.size();
   return request.substr(begin, request.find("\r\n", begin) - begin);
 }
 
-/// A signed answer with a body, to the request with this id.
+/// @return a signed response with a body to the request with this id.
 inline std::string signedAnswer(const std::string& id, const std::string& body,
                                 const std::string& status = "200 OK") {
   return "HTTP/1.1 " + status + "\r\nW-Request: " + id +
@@ -254,7 +257,7 @@
 
 constexpr const char* kLastChunk = "0\r\n\r\n";
 
-/// A relay's request handling over a server on loopback.
+/// A relay's request handling behind an HTTP server on loopback.
 class TestRelay {
 public:
   explicit TestRelay(const relay::Route& route, const relay::Policy& policy = {},
@@ -275,7 +278,7 @@
     configuration.tenants = {relay::Tenant{.name = "tenant-1", .keys = {"key-1"}}};
     configuration.routes = {route};
     state_.routes = std::make_shared<const relay::RouteTable>(std::move(configuration));
-    // As if told long ago, so that its share of the slack has accrued.
+    // Sets the number of relays in the past, so that the relay's share of the slack has accrued.
     constexpr int64_t kLongAgoMs = 60'000;
     state_.budget.setRelays(1, clock_.monotonicMs() - kLongAgoMs);
     state_.lease.confirmed(state_.lease.renewalSent(clock_.monotonicMs()));
@@ -285,7 +288,7 @@
   TestRelay(const TestRelay&) = delete;
   TestRelay& operator=(const TestRelay&) = delete;
 
-  /// @param slots zero: not told
+  /// @param slots zero if the list does not contain the number
   void addRunner(const std::string& id, const std::string& address, uint32_t slots = 0) {
     v1::RunnerEntry* entry = list_.add_runners();
     entry->set_id(id);
@@ -296,7 +299,7 @@
     list_.set_version(list_.version() + 1);
     state_.runners.setList(list_, 0);
   }
-  /// On the relay's event loop, once it runs.
+  /// Must run on the relay's event loop after `start`.
   void replaceRunner(const std::string& former, const std::string& id, const std::string& address) {
     auto* runners = list_.mutable_runners();
     runners->erase(std::remove_if(runners->begin(), runners->end(),
@@ -310,11 +313,12 @@
   boost::asio::io_context& context() { return workers_.context(0); }
   const std::string& address() const { return address_; }
 
-  /// Sends a request for path `/` and returns everything that comes until the connection ends.
+  /// Sends a request for path `/work`. @return everything received until the connection is closed.
   std::string sendRequest(const std::string& id, const std::string& more_headers = "") const {
     return send(requestText(id, more_headers));
   }
-  /// As `sendRequest`, with the whole request given.
+  /// Sends a complete request given as text. @return everything received until the connection is
+  /// closed.
   std::string send(const std::string& request) const { return answerTo(request, address_); }
   static std::string requestText(const std::string& id, const std::string& more_headers = "") {
     return test::requestText(CallerRequest{.id = id, .more_headers = more_headers});
@@ -356,7 +360,7 @@
   return route;
 }
 
-/// Any document is the configuration of one route of one service.
+/// Decodes every document as a configuration with one route and one service.
 class OneRouteCodec : public ConfigurationCodec {
 public:
   Result<relay::Configuration> decode(std::string_view) const override {
--- a/tests/unit/daemon/relay/relay_role_test.cc
+++ b/tests/unit/daemon/relay/relay_role_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The relay role with a leader that a test plays: addresses, readiness, a planned stop.
+/// Tests of the relay role with a fake leader: readiness and a planned stop.
 #include <atomic>
 #include <chrono>
 #include <memory>
@@ -23,10 +23,10 @@
   Result<RunnerPage> decode(std::string_view) const override { return Error{"no list"}; }
 };
 
-/// Confirms each renewal and tells one runner and the relays it knows.
-class PlayedLeader {
+/// A leader that confirms each renewal and distributes a configuration and a list of one runner.
+class FakeLeader {
 public:
-  PlayedLeader(const std::string& address, std::string runner_address)
+  FakeLeader(const std::string& address, std::string runner_address)
       : listener_(workers_.context(0)), runner_address_(std::move(runner_address)) {
     const auto listening =
         listener_.listen(address, [this](std::shared_ptr<link::FramedLink> link) {
@@ -42,9 +42,9 @@
     REQUIRE_FALSE(isError(listening));
     workers_.start();
   }
-  ~PlayedLeader() { workers_.stop(); }
-  PlayedLeader(const PlayedLeader&) = delete;
-  PlayedLeader& operator=(const PlayedLeader&) = delete;
+  ~FakeLeader() { workers_.stop(); }
+  FakeLeader(const FakeLeader&) = delete;
+  FakeLeader& operator=(const FakeLeader&) = delete;
 
   bool relayIsReady() const { return relay_ready_; }
 
@@ -75,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("A planned stop finishes what is in progress, tells callers, and then ends") {
+TEST_CASE("A planned stop reports not ready, finishes requests in progress, and then completes") {
   std::atomic<bool> runner_may_answer{false};
   std::atomic<bool> runner_has_request{false};
   ScriptedRunner runner([&](auto& socket, const auto&) {
@@ -85,7 +85,7 @@
     }
     writeTo(socket, signedAnswer("q1", "done"));
   });
-  const PlayedLeader leader("127.0.0.1:18241", runner.address());
+  const FakeLeader leader("127.0.0.1:18241", runner.address());
   settings::RelaySettings settings;
   settings.name = "relay-1";
   settings.zone = "z";
--- a/tests/unit/daemon/relay/runner_notice_test.cc
+++ b/tests/unit/daemon/relay/runner_notice_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What a runner's answers say of further requests decides which requests it gets from here on.
+/// Tests of the notices in runners' response headers: backoffs and the announcement of leaving.
 #include <string>
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A runner that declines whatever comes. @param more_headers of its answers
+/// Script of a runner that declines all requests. @param more_headers added to its responses
 ScriptedRunner::Script declining(std::string more_headers) {
   return [more_headers = std::move(more_headers)](auto& socket, const std::string& request) {
     writeTo(socket, "HTTP/1.1 503 Full\r\nW-Request: " + requestIdOf(request) +
@@ -20,56 +20,56 @@
   };
 }
 
-/// A runner that runs whatever comes. @param more_headers of its answers
+/// Script of a runner that runs all requests. @param more_headers added to its responses
 ScriptedRunner::Script running(const std::string& more_headers = "") {
   return [more_headers](auto& socket, const std::string& request) {
     writeTo(socket, signedAnswer(requestIdOf(request), "done", "200 OK" + more_headers));
   };
 }
 
-/// Requests, each with an id of its own, so that each is drawn a runner by itself.
+/// Sends requests with different ids, so that a runner is chosen randomly for each.
 class Caller {
 public:
   explicit Caller(const TestRelay& relay) : relay_(relay) {}
-  /// @return how many of so many requests were answered whole.
+  /// Sends requests one after another. @return how many of them succeeded.
   int answered(int requests) {
     int count = 0;
     for (int i = 0; i < requests; ++i) {
-      count += relay_.sendRequest("q" + std::to_string(++asked_)).ends_with("done") ? 1 : 0;
+      count += relay_.sendRequest("q" + std::to_string(++sent_)).ends_with("done") ? 1 : 0;
     }
     return count;
   }
 
 private:
   const TestRelay& relay_;
-  int asked_ = 0;
+  int sent_ = 0;
 };
 
 } // namespace
 
-TEST_CASE("A runner that asked for a backoff gets requests all the same") {
-  ScriptedRunner tired(declining("W-Backoff: 3000\r\n"));
+TEST_CASE("A runner gets requests during the backoff that it requested") {
+  ScriptedRunner backing_off(declining("W-Backoff: 3000\r\n"));
   ScriptedRunner free(running());
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
-  relay.addRunner("runner-1", tired.address());
+  relay.addRunner("runner-1", backing_off.address());
   relay.addRunner("runner-2", free.address());
   relay.start();
   Caller caller(relay);
   CHECK(caller.answered(10) == 10);
-  CHECK(tired.requests() == 1);
+  CHECK(backing_off.requests() == 1);
   relay.clock().sleepFor(1500);
   CHECK(caller.answered(10) == 10);
-  CHECK(tired.requests() == 1);
-  // Its time is over.
+  CHECK(backing_off.requests() == 1);
+  // The backoff has ended.
   relay.clock().sleepFor(1500);
   CHECK(caller.answered(10) == 10);
-  CHECK(tired.requests() == 2);
+  CHECK(backing_off.requests() == 2);
 }
 
-TEST_CASE("A request that finds all runners backing off is refused at once, unheard") {
-  ScriptedRunner tired(declining("W-Backoff: 700\r\n"));
+TEST_CASE("A request is refused at once, and not sent, if all runners are in a backoff") {
+  ScriptedRunner backing_off(declining("W-Backoff: 700\r\n"));
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
-  relay.addRunner("runner-1", tired.address());
+  relay.addRunner("runner-1", backing_off.address());
   relay.start();
   Caller caller(relay);
   CHECK(caller.answered(1) == 0);
@@ -77,20 +77,20 @@
   const std::string refused = relay.sendRequest("q9");
   CHECK(refused.starts_with("HTTP/1.1 503"));
   CHECK(refused.find("all_backing_off") != std::string::npos);
-  // Comes back when the runner wants requests again.
+  // The caller should retry when the runner's backoff ends.
   const size_t retry_after = refused.find("Retry-After: ");
   REQUIRE(retry_after != std::string::npos);
   CHECK(std::stoi(refused.substr(retry_after + 13)) <= 100);
-  CHECK(tired.requests() == 1);
+  CHECK(backing_off.requests() == 1);
   CHECK(relay.state().stats.outcomes["all_backing_off"] == 1);
 }
 
-TEST_CASE("A backoff that comes while a connection is made keeps the request from the runner") {
+TEST_CASE("A request is not sent if the runner requests a backoff after it was chosen") {
   ScriptedRunner free(running());
   TestRelay relay(testRoute(RouteKind::RunOnce, 1));
   relay.addRunner("runner-1", free.address());
   const auto runner = relay.state().runners.runners()[0];
-  // The owner of places is asked first; while it is, another request's answer comes.
+  // Simulates a response to another request that arrives while the slot is being claimed.
   const auto peers = std::make_shared<daemon::RelayPeers>(relay.context(), relay.state().clock);
   REQUIRE_FALSE(isError(peers->open("127.0.0.1:18305")));
   relay.state().slot_client =
@@ -108,11 +108,11 @@
   CHECK(relay.state().stats.sent_in_backoff == 0);
 }
 
-TEST_CASE("A runner that said it is leaving gets requests all the same") {
+TEST_CASE("A runner gets requests after it announced that it is leaving") {
   ScriptedRunner leaving(running("\r\nW-Leaving: 1"));
   ScriptedRunner staying(running());
   relay::Route route = testRoute(RouteKind::RunOnce, 1);
-  // Served also when the group has been silent for long.
+  // Anonymous requests are served even without a lease.
   route.anonymous = true;
   TestRelay relay(route);
   relay.addRunner("runner-1", leaving.address());
@@ -121,13 +121,13 @@
   Caller caller(relay);
   CHECK(caller.answered(10) == 10);
   CHECK(leaving.requests() == 1);
-  // Out of touch with the group, and asleep in between.
+  // Also after the machine was suspended and without contact to the group.
   relay.clock().sleepFor(60'000);
   CHECK(caller.answered(10) == 10);
   CHECK(leaving.requests() == 1);
 }
 
-TEST_CASE("A runner that says with a failure or a decline that it is leaving gets requests on") {
+TEST_CASE("A runner gets requests after it announced its leaving in a failure or a decline") {
   for (const bool declines : {true, false}) {
     CAPTURE(declines);
     ScriptedRunner leaving(
@@ -143,7 +143,7 @@
   }
 }
 
-TEST_CASE("A runner that says at the head of a stream that it is leaving loses that stream") {
+TEST_CASE("A stream is lost if its runner announces in its headers that it is leaving") {
   ScriptedRunner leaving([](auto& socket, const std::string& request) {
     std::string head = streamHead(requestIdOf(request));
     head.insert(head.size() - 2, "W-Leaving: 1\r\n");
--- a/tests/unit/daemon/relay/slot_client_test.cc
+++ b/tests/unit/daemon/relay/slot_client_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Claims for places between relays on loopback: grants, refusals, owners that are silent or gone.
+/// Tests of slot claims between two relays on loopback: grants, refusals, and owners that are
+/// silent or leave.
 #include <chrono>
 #include <memory>
 #include <optional>
@@ -25,7 +26,7 @@
 
 const std::string kFirst = "127.0.0.1:18301";
 const std::string kSecond = "127.0.0.1:18302";
-constexpr std::chrono::seconds kTestLimit{5};
+constexpr std::chrono::seconds kTestTimeout{5};
 
 /// Two relays on one event loop.
 struct TwoRelays {
@@ -58,9 +59,9 @@
     return std::move(*reply);
   }
 
-  /// Runs the event loop until `done`, or the test's limit.
+  /// Runs the event loop until `done` returns true or the test's time limit is reached.
   template <typename Done> void run(Done done) {
-    const auto last = std::chrono::steady_clock::now() + kTestLimit;
+    const auto last = std::chrono::steady_clock::now() + kTestTimeout;
     context.restart();
     while (!done() && std::chrono::steady_clock::now() < last) {
       context.run_one_for(std::chrono::milliseconds(10));
@@ -69,18 +70,18 @@
 
   SystemClock clock;
   boost::asio::io_context context;
-  relay::OwnedRunner told{.listed = true};
+  relay::OwnedRunner owned_runner{.listed = true};
   std::shared_ptr<RelayPeers> first_peers = std::make_shared<RelayPeers>(context, clock);
   std::shared_ptr<RelayPeers> second_peers = std::make_shared<RelayPeers>(context, clock);
-  std::shared_ptr<SlotClient> first =
-      std::make_shared<SlotClient>(first_peers, clock, 1, [this](uint64_t) { return told; });
-  std::shared_ptr<SlotClient> second =
-      std::make_shared<SlotClient>(second_peers, clock, 2, [this](uint64_t) { return told; });
+  std::shared_ptr<SlotClient> first = std::make_shared<SlotClient>(
+      first_peers, clock, 1, [this](uint64_t) { return owned_runner; });
+  std::shared_ptr<SlotClient> second = std::make_shared<SlotClient>(
+      second_peers, clock, 2, [this](uint64_t) { return owned_runner; });
 };
 
 } // namespace
 
-TEST_CASE("Relays share the places of a runner, whoever owns it") {
+TEST_CASE("Relays share the slots of a runner, whichever relay owns it") {
   TwoRelays relays;
   for (const std::string& owner : {kFirst, kSecond}) {
     const uint64_t runner = TwoRelays::ownedBy(owner);
@@ -91,8 +92,8 @@
     CHECK(two.verdict == SlotVerdict::Granted);
     CHECK(relays.claim(*relays.first, runner, 2).verdict == SlotVerdict::Refused);
     CHECK(relays.claim(*relays.second, runner, 2).verdict == SlotVerdict::Refused);
-    // The place goes to another as soon as it is given back.
-    one.place.release();
+    // Another relay can claim the slot as soon as it is released.
+    one.slot.release();
     SlotClaimResult next;
     relays.run([&] {
       next = relays.claim(*relays.second, runner, 2);
@@ -102,11 +103,11 @@
   }
 }
 
-TEST_CASE("A claim at an owner that is silent ends soon, the next ones at once") {
+TEST_CASE("A claim at a silent owner times out soon, and the next ones fail at once") {
   TwoRelays relays;
   const uint64_t runner = TwoRelays::ownedBy(kSecond);
   relays.second_peers->close();
-  // The address is held by a process that answers nothing, as a frozen one does.
+  // The socket receives but never answers, like that of a suspended process.
   boost::asio::ip::udp::socket silent(relays.context,
                                       {boost::asio::ip::make_address("127.0.0.1"), 18302});
   const auto begin = std::chrono::steady_clock::now();
@@ -114,7 +115,7 @@
   CHECK(std::chrono::steady_clock::now() - begin >= std::chrono::milliseconds(30));
   CHECK(relays.claim(*relays.first, runner, 2).verdict == SlotVerdict::Unanswered);
   CHECK(relays.first->counts().unanswered == 2);
-  // Only the first was sent.
+  // Only the first claim was sent.
   CHECK(silent.available() > 0);
   const size_t one_datagram = silent.available();
   CHECK(relays.claim(*relays.first, runner, 2).verdict == SlotVerdict::Unanswered);
@@ -127,12 +128,12 @@
   CHECK(relays.claim(*relays.first, 1, 2).verdict == SlotVerdict::Unanswered);
 }
 
-TEST_CASE("What is held is told to an owner that takes over") {
+TEST_CASE("Slots in use are counted by a new owner") {
   TwoRelays relays;
   const uint64_t runner = TwoRelays::ownedBy(kSecond);
-  const SlotClaimResult held = relays.claim(*relays.first, runner, 5);
-  CHECK(held.verdict == SlotVerdict::Granted);
-  // The owner leaves: the first relay owns all runners and knows what it holds itself.
+  const SlotClaimResult result = relays.claim(*relays.first, runner, 5);
+  CHECK(result.verdict == SlotVerdict::Granted);
+  // The owner leaves. The first relay then owns all runners and counts its own slot.
   relays.first_peers->setRelays({kFirst});
   relays.second_peers->setRelays({kFirst});
   const SlotClaimResult other = relays.claim(*relays.second, runner, 5);
@@ -140,14 +141,14 @@
   CHECK(other.load == 2);
 }
 
-TEST_CASE("Places that are held may outlive the client") {
-  SlotClaimResult held;
+TEST_CASE("Slots may be released after the client is destroyed") {
+  SlotClaimResult result;
   {
     TwoRelays relays;
-    held = relays.claim(*relays.first, TwoRelays::ownedBy(kFirst), 5);
-    CHECK(held.verdict == SlotVerdict::Granted);
+    result = relays.claim(*relays.first, TwoRelays::ownedBy(kFirst), 5);
+    CHECK(result.verdict == SlotVerdict::Granted);
   }
-  held.place.release();
+  result.slot.release();
 }
 
 } // namespace workshatch::test
--- a/tests/unit/daemon/relay/slow_reader_test.cc
+++ b/tests/unit/daemon/relay/slow_reader_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Callers that read slowly, or not at all, beside ordinary ones: what is held for them, and that
-/// their runners are read meanwhile.
+/// Tests of callers that read slowly or not at all: their runners' streams are read meanwhile, the
+/// buffered bytes are bounded, and other callers are served.
 #include <atomic>
 #include <chrono>
 #include <memory>
@@ -18,7 +18,7 @@
 
 using boost::asio::ip::tcp;
 
-/// A runner that serves each connection on a thread of its own: a stream of so many bytes.
+/// A runner that serves each connection on its own thread, with a stream of a fixed size.
 class StreamingRunner {
 public:
   StreamingRunner(size_t stream_bytes, size_t event_bytes)
@@ -42,8 +42,8 @@
   std::string address() const {
     return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
   }
-  /// Streams that the relay has taken whole.
-  size_t taken() const { return taken_; }
+  /// Number of streams that the relay has read completely.
+  size_t streamsRead() const { return streams_read_; }
 
 private:
   void serve() {
@@ -70,7 +70,7 @@
       boost::asio::write(socket, boost::asio::buffer(event), failure);
     }
     boost::asio::write(socket, boost::asio::buffer(std::string(kLastChunk)), failure);
-    taken_ += failure ? 0 : 1;
+    streams_read_ += failure ? 0 : 1;
   }
 
   const size_t stream_bytes_;
@@ -78,23 +78,23 @@
   boost::asio::io_context context_;
   tcp::acceptor acceptor_;
   std::atomic<bool> stopping_{false};
-  std::atomic<size_t> taken_{0};
+  std::atomic<size_t> streams_read_{0};
   std::vector<std::thread> connections_;
   std::thread thread_;
 };
 
-/// A caller that sends a request and reads nothing until it is told to.
+/// A caller that sends a request and reads nothing until `readAll` is called.
 class PausingCaller {
 public:
   PausingCaller(const std::string& id, const std::string& address) : socket_(context_) {
     socket_.open(tcp::v4());
-    // So that little is held by the system.
+    // Keeps the amount of data that the kernel buffers small.
     socket_.set_option(boost::asio::socket_base::receive_buffer_size(4096));
     socket_.connect(*http::parseEndpoint(address));
     const std::string request = requestText(CallerRequest{.id = id, .timeout_ms = 20'000});
     boost::asio::write(socket_, boost::asio::buffer(request));
   }
-  /// @return everything that comes until the connection ends.
+  /// @return everything received until the connection is closed.
   std::string readAll() {
     std::string answer;
     boost::system::error_code failure;
@@ -115,23 +115,23 @@
 
 } // namespace
 
-TEST_CASE("A runner is read to its end while its caller pauses, and the caller misses nothing") {
+TEST_CASE("A stream is read completely while its caller pauses, and the caller misses nothing") {
   constexpr size_t kStreamBytes = 150'000;
   StreamingRunner runner(kStreamBytes, 1000);
   TestRelay relay(streamingRoute());
   relay.addRunner("r1", runner.address());
   relay.start();
   PausingCaller caller("slow-1", relay.address());
-  REQUIRE(within(kTestTimeout, [&] { return runner.taken() == 1; }));
+  REQUIRE(within(kTestTimeout, [&] { return runner.streamsRead() == 1; }));
   const std::string answer = caller.readAll();
   CHECK(answer.size() > kStreamBytes);
   CHECK(answer.ends_with(kLastChunk));
 }
 
-TEST_CASE("Two hundred callers that read nothing leave the others served, within a bound") {
+TEST_CASE("Two hundred callers that read nothing leave memory bounded and other callers served") {
   constexpr size_t kSlow = 200;
   constexpr size_t kBound = size_t{4} * 1024 * 1024;
-  // More than the system holds for a caller that reads nothing.
+  // More than the kernel buffers for a caller that reads nothing.
   StreamingRunner runner(size_t{8} * 1024 * 1024, 16'000);
   ScriptedRunner plain([](auto& socket, const std::string& request) {
     const std::string name = "W-Request: ";
@@ -148,36 +148,36 @@
   }
   std::atomic<size_t> most_held{0};
   std::atomic<uint64_t> cuts{0};
-  const auto look = [&] {
-    std::atomic<bool> looked{false};
+  const auto sample = [&] {
+    std::atomic<bool> sampled{false};
     boost::asio::post(relay.context(), [&] {
       most_held = std::max(most_held.load(), relay.state().read_ahead.bufferedBytes());
       cuts = relay.state().read_ahead.cancelledReaders();
-      looked = true;
+      sampled = true;
     });
-    within(kTestTimeout, [&] { return looked.load(); });
+    within(kTestTimeout, [&] { return sampled.load(); });
   };
   REQUIRE(within(kTestTimeout, [&] {
-    look();
+    sample();
     return cuts > 0;
   }));
   CHECK(most_held <= kBound);
-  // A runner of its own for the ordinary callers, since the other is kept busy.
+  // Ordinary callers get another runner, since the first one is busy.
   std::atomic<bool> added{false};
   boost::asio::post(relay.context(), [&] {
     relay.replaceRunner("r1", "r2", plain.address());
-    // The lease of the beginning may be over.
+    // Renews the lease, since the initial one may have expired.
     auto& lease = relay.state().lease;
     lease.confirmed(lease.renewalSent(relay.clock().monotonicMs()));
     added = true;
   });
   REQUIRE(within(kTestTimeout, [&] { return added.load(); }));
   for (int i = 0; i < 20; ++i) {
-    const auto asked = std::chrono::steady_clock::now();
+    const auto sent_at = std::chrono::steady_clock::now();
     const std::string answer = relay.sendRequest("quick-" + std::to_string(i));
     CHECK(answer.find("data: one") != std::string::npos);
-    CHECK(std::chrono::steady_clock::now() - asked < std::chrono::seconds(1));
-    look();
+    CHECK(std::chrono::steady_clock::now() - sent_at < std::chrono::seconds(1));
+    sample();
   }
   CHECK(most_held <= kBound);
 }
--- a/tests/unit/daemon/runner_list_reader_test.cc
+++ b/tests/unit/daemon/runner_list_reader_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// How often the platform is asked for its list when it refuses.
+/// Tests of the backoff of the runner list reader when the platform refuses its calls.
 #include <string>
 
 #include <boost/asio/co_spawn.hpp>
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// Any body is a list of no runners.
+/// Decodes every body as an empty list of runners.
 class EmptyListCodec : public RunnerListCodec {
 public:
   std::string target(const std::string&) const override { return "/list"; }
   Result<RunnerPage> decode(std::string_view) const override { return RunnerPage{}; }
 };
 
-/// A platform that answers all calls alike, and a reader of its list.
+/// A platform that gives the same response to all calls, and a reader of its list.
 class RefusingPlatform {
 public:
   explicit RefusingPlatform(const std::string& head)
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("A platform that told when to come back is asked for its list before") {
+TEST_CASE("The platform is called during the backoff that it requested") {
   for (const char* status : {"429 Too Many", "503 Unavailable"}) {
     CAPTURE(status);
     RefusingPlatform platform(std::string(status) + "\r\nRetry-After: 2.5");
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_CASE("A platform that refuses without a time, or for too long, is never asked again") {
+TEST_CASE("The platform is never called again after a refusal with no time or an excessive time") {
   RefusingPlatform timeless("429 Too Many");
   CHECK_FALSE(timeless.read());
   CHECK_FALSE(timeless.read());
--- a/tests/unit/main.cc
+++ b/tests/unit/main.cc
@@ -1,4 +1,4 @@
 /// @file
-/// Runner of the unit tests.
+/// Main function of the unit tests.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
--- a/tests/unit/stop_count.h
+++ b/tests/unit/stop_count.h
@@ -1,16 +1,16 @@
 /// @file
-/// How many planned stops a test plays.
+/// Number of planned stops that a test performs.
 #pragma once
 
 #include <cstdlib>
 
 namespace workshatch::test {
 
-/// @param in_each_run as many as a run of all tests bears
-/// @return that, or what WORKSHATCH_STOPS asks for by hand
-inline int stopCount(int in_each_run) {
-  const char* asked = std::getenv("WORKSHATCH_STOPS");
-  return asked == nullptr ? in_each_run : std::atoi(asked);
+/// @param default_count default number, small enough for a run of all tests
+/// @return the value of the environment variable WORKSHATCH_STOPS if it is set, else the default
+inline int stopCount(int default_count) {
+  const char* value = std::getenv("WORKSHATCH_STOPS");
+  return value == nullptr ? default_count : std::atoi(value);
 }
 
 } // namespace workshatch::test
--- a/tests/unit/wait_until.h
+++ b/tests/unit/wait_until.h
@@ -1,5 +1,5 @@
 /// @file
-/// Waiting for what another thread does.
+/// Helpers of tests that wait, with a time limit, for another thread.
 #pragma once
 
 #include <chrono>
@@ -11,12 +11,11 @@
 
 namespace workshatch::test {
 
-/// A replica under test hands over within its election timeout of 50 ms, then its services take 500
-/// ms for calls that are under way. Whatever is not over after this long waits for something that
-/// does not come.
+/// Time limit for a stop. A replica under test hands over within its election timeout of 50 ms, and
+/// its services then allow 500 ms for calls in progress, so a stop that takes longer is blocked.
 constexpr std::chrono::seconds kStopLimit{5};
 
-/// Waits until `condition` holds. @return whether it does within `limit`.
+/// Polls `condition`. @return whether it became true within `limit`.
 inline bool waitUntil(const std::function<bool()>& condition,
                       std::chrono::milliseconds limit = kStopLimit) {
   const auto until = std::chrono::steady_clock::now() + limit;
@@ -26,8 +25,8 @@
   return condition();
 }
 
-/// Runs `work` on a thread of its own, which keeps what it uses if it never ends.
-/// @return whether it ended within kStopLimit.
+/// Runs `work` on a detached thread, which keeps its captured objects alive if it never returns.
+/// @return whether it returned within kStopLimit.
 inline bool endsInTime(std::function<void()> work) {
   auto ended = std::make_shared<std::promise<void>>();
   auto future = ended->get_future();
