--- a/bench/main.cc
+++ b/bench/main.cc
@@ -41,61 +41,64 @@
 
 // ---- latency ------------------------------------------------------------------------------
 
-struct Side {
+struct Endpoint {
   std::string name;
   std::string address;
   std::string target;
 };
 
-struct Measured {
+struct LatencyMeasurement {
   std::vector<double> micros;
   double seconds = 0;
   uint32_t failed = 0;
 };
 
-http::awaitable<void> sendRequests(http::Client& client, const Side& side, uint32_t count,
-                                   Measured& measured) {
+http::awaitable<void> sendRequests(http::Client& client, const Endpoint& endpoint, uint32_t count,
+                                   LatencyMeasurement& measurement) {
   for (uint32_t i = 0; i < count; ++i) {
-    http::Request request(http::Verb::get, side.target, 11);
+    http::Request request(http::Verb::get, endpoint.target, 11);
     request.set("X-Tenant", FLAGS_tenant);
     const http::CallOptions options;
     const auto started = SteadyClock::now();
-    http::CallResult result = co_await client.call(side.address, std::move(request), options);
-    auto* answer = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result);
+    http::CallResult result = co_await client.call(endpoint.address, std::move(request), options);
+    auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
     if (answer == nullptr || (*answer)->status() != http::Status::ok) {
-      ++measured.failed;
+      ++measurement.failed;
       continue;
     }
     co_await (*answer)->readAll(1U << 20U);
-    measured.micros.push_back(microsSince(started));
+    measurement.micros.push_back(microsSince(started));
   }
 }
 
-Measured measureSide(const Side& side, uint32_t connections, uint32_t requests) {
+LatencyMeasurement measureEndpoint(const Endpoint& endpoint, uint32_t connections,
+                                   uint32_t requests) {
   boost::asio::io_context context(1);
   http::Client client(context);
-  Measured measured;
+  LatencyMeasurement measurement;
   for (uint32_t i = 0; i < connections; ++i) {
-    boost::asio::co_spawn(context, sendRequests(client, side, requests / connections, measured),
+    boost::asio::co_spawn(context,
+                          sendRequests(client, endpoint, requests / connections, measurement),
                           boost::asio::detached);
   }
   const auto started = SteadyClock::now();
   context.run();
-  measured.seconds = microsSince(started) / 1e6;
-  std::sort(measured.micros.begin(), measured.micros.end());
-  return measured;
+  measurement.seconds = microsSince(started) / 1e6;
+  std::sort(measurement.micros.begin(), measurement.micros.end());
+  return measurement;
 }
 
-double percentile(const Measured& measured, double part) {
-  if (measured.micros.empty()) {
+double percentile(const LatencyMeasurement& measurement, double fraction) {
+  if (measurement.micros.empty()) {
     return 0;
   }
-  const auto index = static_cast<size_t>(static_cast<double>(measured.micros.size() - 1) * part);
-  return measured.micros[index];
+  const auto index =
+      static_cast<size_t>(static_cast<double>(measurement.micros.size() - 1) * fraction);
+  return measurement.micros[index];
 }
 
 /// Processor seconds of a process, user and system.
-double processorSeconds(uint64_t pid) {
+double cpuSeconds(uint64_t pid) {
   std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
   std::string word;
   double ticks = 0;
@@ -118,30 +121,32 @@
 }
 
 int runLatency() {
-  const Side direct{.name = "direct", .address = FLAGS_direct, .target = FLAGS_path};
-  const Side router{.name = "router",
-                    .address = FLAGS_router,
-                    .target = "/v1/services/" + FLAGS_service + FLAGS_path};
+  const Endpoint direct{.name = "direct", .address = FLAGS_direct, .target = FLAGS_path};
+  const Endpoint router{.name = "router",
+                        .address = FLAGS_router,
+                        .target = "/v1/services/" + FLAGS_service + FLAGS_path};
   std::printf("router resident memory before load: %s\n", residentMemory(FLAGS_router_pid).c_str());
   std::printf("%-11s %-7s %10s %10s %12s %7s\n", "connections", "side", "p50 us", "p99 us",
               "requests/s", "failed");
   for (const uint32_t connections : {1U, 64U}) {
     double direct_p50 = 0;
     for (int round = 0; round < 3; ++round) {
-      for (const Side& side : {direct, router}) {
-        const double before = processorSeconds(FLAGS_router_pid);
-        const Measured measured = measureSide(side, connections, FLAGS_requests);
-        const double spent = processorSeconds(FLAGS_router_pid) - before;
-        const double rate = static_cast<double>(measured.micros.size()) / measured.seconds;
-        std::printf("%-11u %-7s %10.0f %10.0f %12.0f %7u", connections, side.name.c_str(),
-                    percentile(measured, 0.5), percentile(measured, 0.99), rate, measured.failed);
-        if (side.name == "direct") {
-          direct_p50 = percentile(measured, 0.5);
+      for (const Endpoint& endpoint : {direct, router}) {
+        const double before = cpuSeconds(FLAGS_router_pid);
+        const LatencyMeasurement measurement =
+            measureEndpoint(endpoint, connections, FLAGS_requests);
+        const double cpu_seconds = cpuSeconds(FLAGS_router_pid) - before;
+        const double rate = static_cast<double>(measurement.micros.size()) / measurement.seconds;
+        std::printf("%-11u %-7s %10.0f %10.0f %12.0f %7u", connections, endpoint.name.c_str(),
+                    percentile(measurement, 0.5), percentile(measurement, 0.99), rate,
+                    measurement.failed);
+        if (endpoint.name == "direct") {
+          direct_p50 = percentile(measurement, 0.5);
           std::printf("\n");
         } else {
           std::printf("   added p50 %.0f us, %.0f requests a core second\n",
-                      percentile(measured, 0.5) - direct_p50,
-                      static_cast<double>(measured.micros.size()) / std::max(spent, 1e-3));
+                      percentile(measurement, 0.5) - direct_p50,
+                      static_cast<double>(measurement.micros.size()) / std::max(cpu_seconds, 1e-3));
         }
       }
     }
@@ -160,7 +165,7 @@
   return resident * static_cast<uint64_t>(sysconf(_SC_PAGESIZE));
 }
 
-v1::RouterEntry routerNumber(uint32_t number) {
+v1::RouterEntry makeRouterEntry(uint32_t number) {
   v1::RouterEntry entry;
   entry.set_name("entry-" + std::to_string(number));
   entry.set_incarnation(0x123456789ABCDEF0ULL + number);
@@ -171,16 +176,16 @@
   return entry;
 }
 
-v1::View viewOf(uint32_t routers) {
+v1::View makeView(uint32_t routers) {
   v1::View view;
   view.set_number(routers);
   for (uint32_t i = 0; i < routers; ++i) {
-    *view.add_routers() = routerNumber(i);
+    *view.add_routers() = makeRouterEntry(i);
   }
   return view;
 }
 
-v1::Configuration configurationOf(uint32_t tenants) {
+v1::Configuration makeConfiguration(uint32_t tenants) {
   v1::Configuration configuration;
   for (uint32_t i = 0; i < tenants; ++i) {
     v1::Tenant* tenant = configuration.add_tenants();
@@ -197,47 +202,47 @@
   return configuration;
 }
 
-void routerSlopes() {
-  std::vector<Point> owner;
+void printRouterSlopes() {
+  std::vector<Point> owner_lookups;
   std::vector<Point> view_bytes;
-  std::vector<Point> renew;
+  std::vector<Point> renewals;
   for (const uint32_t routers : {12U, 100U, 390U}) {
-    const v1::View view = viewOf(routers);
-    owner.push_back({double(routers), medianMicros(200, [&] {
-                       (void)routing::ownerOf(view, "runner-77/3", "zone-3");
-                     })});
+    const v1::View view = makeView(routers);
+    owner_lookups.push_back({double(routers), medianMicros(200, [&] {
+                               (void)routing::ownerOf(view, "runner-77/3", "zone-3");
+                             })});
     view_bytes.push_back({double(routers), double(view.ByteSizeLong())});
     control::ReplicatedState state;
     for (uint32_t i = 0; i < routers; ++i) {
       v1::Command command;
-      *command.mutable_register_router() = routerNumber(i);
+      *command.mutable_register_router() = makeRouterEntry(i);
       state.apply(command);
     }
     control::RouterManager router_manager{control::LeaseOptions{}};
     uint32_t next = 0;
-    renew.push_back({double(routers), medianMicros(200, [&] {
-                       v1::RenewRequest request;
-                       *request.mutable_router() = routerNumber(next++ % routers);
-                       request.set_view_in_force(state.view().number());
-                       for (int i = 0; i < 7; ++i) {
-                         v1::PoolLoad* load = request.add_loads();
-                         load->set_service("model-" + std::to_string(i));
-                         load->set_load(10);
-                       }
-                       (void)router_manager.renew(request, state, 1);
-                     })});
+    renewals.push_back({double(routers), medianMicros(200, [&] {
+                          v1::RenewRequest request;
+                          *request.mutable_router() = makeRouterEntry(next++ % routers);
+                          request.set_view_in_force(state.view().number());
+                          for (int i = 0; i < 7; ++i) {
+                            v1::PoolLoad* load = request.add_loads();
+                            load->set_service("model-" + std::to_string(i));
+                            load->set_load(10);
+                          }
+                          (void)router_manager.renew(request, state, 1);
+                        })});
   }
-  printSlope("owner of an engine, by routers", "us", owner, 390);
+  printSlope("owner of an engine, by routers", "us", owner_lookups, 390);
   printSlope("view, by routers", "bytes", view_bytes, 390);
-  printSlope("renewal at the leader, by routers", "us", renew, 390);
+  printSlope("renewal at the leader, by routers", "us", renewals, 390);
 }
 
-void engineSlopes() {
-  std::vector<Point> rank;
-  std::vector<Point> refresh;
-  std::vector<Point> remembered;
-  const auto view = std::make_shared<const v1::View>(viewOf(390));
-  routing::OwnershipCache memo("entry-7");
+void printEngineSlopes() {
+  std::vector<Point> rankings;
+  std::vector<Point> list_updates;
+  std::vector<Point> cached_lookups;
+  const auto view = std::make_shared<const v1::View>(makeView(390));
+  routing::OwnershipCache ownership_cache("entry-7");
   for (const uint32_t engines : {40U, 400U, 2800U}) {
     std::vector<admission::EngineStatus> statuses;
     for (uint32_t i = 0; i < engines; ++i) {
@@ -251,27 +256,27 @@
     for (const auto& status : statuses) {
       names.push_back(status.engine);
     }
-    rank.push_back({double(engines), medianMicros(5, [&] {
-                      (void)routing::rank(
-                          7, names,
-                          [](const std::string& name) -> const std::string& { return name; });
-                    })});
-    remembered.push_back({double(engines), medianMicros(2, [&] {
-                            for (const std::string& name : names) {
-                              (void)memo.owns(view, name, "zone-3");
-                            }
-                          })});
+    rankings.push_back({double(engines), medianMicros(5, [&] {
+                          (void)routing::rank(
+                              7, names,
+                              [](const std::string& name) -> const std::string& { return name; });
+                        })});
+    cached_lookups.push_back({double(engines), medianMicros(2, [&] {
+                                for (const std::string& name : names) {
+                                  (void)ownership_cache.owns(view, name, "zone-3");
+                                }
+                              })});
     admission::PermitTable table;
-    table.configure(configurationOf(380));
-    refresh.push_back({double(engines), medianMicros(2, [&] { table.setEngines(statuses); })});
+    table.configure(makeConfiguration(380));
+    list_updates.push_back({double(engines), medianMicros(2, [&] { table.setEngines(statuses); })});
   }
-  printSlope("ranking for one request, by engines of the pool", "us", rank, 2800);
-  printSlope("owned engines under a known view, by engines", "us", remembered, 2800);
-  printSlope("new list of engines at a router, by engines", "us", refresh, 2800);
+  printSlope("ranking for one request, by engines of the pool", "us", rankings, 2800);
+  printSlope("owned engines under a known view, by engines", "us", cached_lookups, 2800);
+  printSlope("new list of engines at a router, by engines", "us", list_updates, 2800);
 }
 
-void stateSlopes() {
-  std::vector<Point> chats;
+void printStateSlopes() {
+  std::vector<Point> moved_sessions;
   for (const uint32_t count : {20'000U, 40'000U, 65'536U}) {
     const uint64_t before = residentBytes();
     admission::MovedSessions sessions;
@@ -279,9 +284,9 @@
     for (uint64_t i = 0; i < count; ++i) {
       sessions.record(i * 0x9E3779B97F4A7C15ULL, "runner-123/3", static_cast<int64_t>(i));
     }
-    chats.push_back({double(count), double(residentBytes() - before)});
+    moved_sessions.push_back({double(count), double(residentBytes() - before)});
   }
-  printSlope("moved sessions at one router, by chats", "bytes", chats, 25'200);
+  printSlope("moved sessions at one router, by chats", "bytes", moved_sessions, 25'200);
   std::vector<Point> ledger;
   std::vector<Point> snapshot;
   for (const uint32_t count : {20'000U, 60'000U, 120'000U}) {
@@ -313,20 +318,21 @@
   std::vector<Point> configuration;
   std::vector<Point> apply;
   for (const uint32_t tenants : {10U, 100U, 380U}) {
-    const v1::Configuration declared = configurationOf(tenants);
-    configuration.push_back({double(tenants), double(declared.ByteSizeLong())});
+    const v1::Configuration declared_configuration = makeConfiguration(tenants);
+    configuration.push_back({double(tenants), double(declared_configuration.ByteSizeLong())});
     admission::PermitTable table;
-    apply.push_back({double(tenants), medianMicros(20, [&] { table.configure(declared); })});
+    apply.push_back(
+        {double(tenants), medianMicros(20, [&] { table.configure(declared_configuration); })});
   }
   printSlope("configuration, by tenants", "bytes", configuration, 380);
   printSlope("taking over a configuration at a router, by tenants", "us", apply, 380);
 }
 
-void requestSlopes() {
+void printRequestSlopes() {
   std::vector<Point> permits;
-  for (const uint32_t held : {10U, 100U, 1000U}) {
+  for (const uint32_t held_permits : {10U, 100U, 1000U}) {
     admission::PermitTable table;
-    table.configure(configurationOf(380));
+    table.configure(makeConfiguration(380));
     table.setEngines({{.engine = "m/0", .service = "model-0", .owned = true}});
     v1::PoolLoad load;
     load.set_service("model-0");
@@ -335,7 +341,7 @@
       table.setPoolLoads({load});
     }
     uint64_t sequence = 0;
-    const auto ask = [&] {
+    const auto request_permit = [&] {
       v1::PermitRequest request;
       request.mutable_permit()->set_router("entry-1");
       request.mutable_permit()->set_sequence(++sequence);
@@ -345,11 +351,11 @@
       request.set_cost(1);
       (void)table.request(request, 0);
     };
-    for (uint32_t i = 0; i < held; ++i) {
-      ask();
+    for (uint32_t i = 0; i < held_permits; ++i) {
+      request_permit();
     }
-    permits.push_back({double(held), medianMicros(200, [&] {
-                         ask();
+    permits.push_back({double(held_permits), medianMicros(200, [&] {
+                         request_permit();
                          v1::PermitId permit;
                          permit.set_router("entry-1");
                          permit.set_sequence(sequence);
@@ -362,11 +368,11 @@
 int runSlopes() {
   std::printf("| what, by what | measured | slope | fit R2 | at the target size |\n"
               "|---|---|---|---|---|\n");
-  routerSlopes();
-  engineSlopes();
-  stateSlopes();
-  requestSlopes();
-  relaySlopes();
+  printRouterSlopes();
+  printEngineSlopes();
+  printStateSlopes();
+  printRequestSlopes();
+  printRelaySlopes();
   return kExitOk;
 }
 
--- a/bench/relay_slopes.cc
+++ b/bench/relay_slopes.cc
@@ -15,7 +15,7 @@
 constexpr double kTargetRunners = 10'000;
 constexpr size_t kChangedRunners = 20;
 
-v1::RunnerList runnersNamed(size_t count, uint64_t version) {
+v1::RunnerList makeRunnerList(size_t count, uint64_t version) {
   v1::RunnerList list;
   list.set_version(version);
   for (size_t i = 0; i < count; ++i) {
@@ -30,28 +30,28 @@
   return list;
 }
 
-v1::RunnerListUpdate someLeave(const v1::RunnerList& list) {
+v1::RunnerListUpdate makeUpdate(const v1::RunnerList& list) {
   v1::RunnerListUpdate update;
   update.set_version(list.version());
   update.set_base_version(list.version());
-  const size_t distance = static_cast<size_t>(list.runners_size()) / kChangedRunners;
+  const size_t stride = static_cast<size_t>(list.runners_size()) / kChangedRunners;
   for (size_t i = 0; i < kChangedRunners; ++i) {
-    *update.add_changed() = list.runners(static_cast<int>(i * distance));
+    *update.add_changed() = list.runners(static_cast<int>(i * stride));
   }
   return update;
 }
 
 } // namespace
 
-void relaySlopes() {
-  std::vector<Point> whole;
+void printRelaySlopes() {
+  std::vector<Point> full_lists;
   std::vector<Point> updates;
   std::vector<Point> choices;
   for (const uint32_t count : {100U, 1000U, 10'000U}) {
-    const v1::RunnerList list = runnersNamed(count, 1);
+    const v1::RunnerList list = makeRunnerList(count, 1);
     relay::RunnerTable table(relay::RunnerTableOptions{});
-    whole.push_back({double(count), medianMicros(3, [&] { table.setList(list, 0); })});
-    const v1::RunnerListUpdate update = someLeave(list);
+    full_lists.push_back({double(count), medianMicros(3, [&] { table.setList(list, 0); })});
+    const v1::RunnerListUpdate update = makeUpdate(list);
     updates.push_back(
         {double(count), medianMicros(3, [&] { (void)table.applyUpdate(update, 0); })});
     relay::RunnerRequest request{
@@ -61,7 +61,7 @@
                          (void)table.choose(request);
                        })});
   }
-  printSlope("whole list of runners at a relay, by runners", "us", whole, kTargetRunners);
+  printSlope("whole list of runners at a relay, by runners", "us", full_lists, kTargetRunners);
   printSlope("update of 20 entries at a relay, by runners", "us", updates, kTargetRunners);
   printSlope("choice of a runner for a prompt, by runners", "us", choices, kTargetRunners);
 }
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -56,14 +56,14 @@
 }
 
 inline void printSlope(const std::string& name, const std::string& unit,
-                       const std::vector<Point>& points, double target) {
+                       const std::vector<Point>& points, double target_size) {
   const Fit fit = fitLine(points);
   std::printf("| %s |", name.c_str());
   for (const Point& point : points) {
     std::printf(" %.0f: %.2f", point.size, point.value);
   }
-  std::printf(" | %.4g %s each | %.3f | %.0f: %.4g %s |\n", fit.slope, unit.c_str(), fit.r2, target,
-              fit.offset + fit.slope * target, unit.c_str());
+  std::printf(" | %.4g %s each | %.3f | %.0f: %.4g %s |\n", fit.slope, unit.c_str(), fit.r2,
+              target_size, fit.offset + fit.slope * target_size, unit.c_str());
 }
 
 /// Median time of `work` in microseconds, over repeated batches.
@@ -81,6 +81,6 @@
 }
 
 /// Prints the slopes of a relay's work by the runners that it knows.
-void relaySlopes();
+void printRelaySlopes();
 
 } // namespace workshatch::bench
--- a/src/adapters/address_book.h
+++ b/src/adapters/address_overrides.h
@@ -10,16 +10,16 @@
 namespace workshatch {
 
 /// Immutable after construction; safe for concurrent use.
-class AddressBook {
+class AddressOverrides {
 public:
-  AddressBook() = default;
-  explicit AddressBook(const v1::Settings& settings) {
+  AddressOverrides() = default;
+  explicit AddressOverrides(const v1::Settings& settings) {
     for (const v1::AddressOverride& entry : settings.address_overrides()) {
       overrides_[entry.address()] = entry.connect_to();
     }
   }
 
-  const std::string& connectTo(const std::string& address) const {
+  const std::string& resolve(const std::string& address) const {
     const auto found = overrides_.find(address);
     return found == overrides_.end() ? address : found->second;
   }
--- a/src/adapters/datagram/peer_codec.h
+++ b/src/adapters/datagram/peer_codec.h
@@ -11,12 +11,12 @@
 namespace workshatch::datagram {
 
 /// Largest datagram sent, so that it fits one MTU of 1500 bytes with IP and UDP headers.
-constexpr size_t kMostDatagramBytes = 1400;
+constexpr size_t kMaxDatagramBytes = 1400;
 
 /// @return code and body as one datagram.
-std::string seal(const v1::PeerDatagram& datagram, const std::string& key);
+std::string encodeDatagram(const v1::PeerDatagram& datagram, const std::string& key);
 
 /// @return the datagram, or nothing when its code is wrong or it is not readable.
-std::optional<v1::PeerDatagram> open(std::string_view bytes, const std::string& key);
+std::optional<v1::PeerDatagram> decodeDatagram(std::string_view bytes, const std::string& key);
 
 } // namespace workshatch::datagram
--- a/src/adapters/datagram/peer_socket.h
+++ b/src/adapters/datagram/peer_socket.h
@@ -10,7 +10,7 @@
 
 #include <boost/asio/io_context.hpp>
 
-#include "adapters/address_book.h"
+#include "adapters/address_overrides.h"
 #include "adapters/datagram/udp_socket.h"
 #include "core/result.h"
 #include "workshatch/v1/peer.pb.h"
@@ -32,7 +32,7 @@
 public:
   using Receiver = std::function<void(const v1::PeerDatagram&)>;
 
-  PeerSocket(boost::asio::io_context& context, std::string key, AddressBook addresses,
+  PeerSocket(boost::asio::io_context& context, std::string key, AddressOverrides address_overrides,
              std::string name, uint64_t incarnation);
 
   Result<std::monostate> open(const std::string& address, Receiver receiver);
@@ -44,11 +44,11 @@
   const PeerStats& stats() const { return stats_; }
 
 private:
-  void received(std::string_view bytes);
+  void handleDatagram(std::string_view bytes);
 
   UdpSocket socket_;
   const std::string key_;
-  const AddressBook addresses_;
+  const AddressOverrides address_overrides_;
   const std::string name_;
   const uint64_t incarnation_;
   Receiver receiver_;
--- a/src/adapters/datagram/udp_socket.cc
+++ b/src/adapters/datagram/udp_socket.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t kReceiveBytes = 2048;
+constexpr size_t kReceiveBufferBytes = 2048;
 
 UdpSocket::Endpoint udpEndpoint(const asio::ip::tcp::endpoint& endpoint) {
   return {endpoint.address(), endpoint.port()};
@@ -20,7 +20,8 @@
 
 } // namespace
 
-UdpSocket::UdpSocket(asio::io_context& context) : socket_(context), buffer_(kReceiveBytes, '\0') {}
+UdpSocket::UdpSocket(asio::io_context& context)
+    : socket_(context), buffer_(kReceiveBufferBytes, '\0') {}
 
 Result<std::monostate> UdpSocket::open(const std::string& address, Receiver receiver) {
   const auto endpoint = http::parseEndpoint(address);
@@ -59,8 +60,8 @@
 }
 
 void UdpSocket::send(const Endpoint& to, std::string_view bytes) {
-  boost::system::error_code lost;
-  socket_.send_to(asio::buffer(bytes.data(), bytes.size()), to, 0, lost);
+  boost::system::error_code ignored;
+  socket_.send_to(asio::buffer(bytes.data(), bytes.size()), to, 0, ignored);
 }
 
 void UdpSocket::receive() {
--- a/src/adapters/disk/file_log_store.cc
+++ b/src/adapters/disk/file_log_store.cc
@@ -25,7 +25,7 @@
   return Error{what + " " + path.string() + ": " + std::strerror(errno)};
 }
 
-std::string recordOf(const v1::RaftLogRecord& record) {
+std::string encodeRecord(const v1::RaftLogRecord& record) {
   std::string out;
   appendRecord(out, record.SerializeAsString());
   return out;
@@ -34,13 +34,13 @@
 std::string entryRecord(const v1::RaftEntry& entry) {
   v1::RaftLogRecord record;
   *record.mutable_entry() = entry;
-  return recordOf(record);
+  return encodeRecord(record);
 }
 
 std::string hardStateRecord(const v1::RaftHardState& hard_state) {
   v1::RaftLogRecord record;
   *record.mutable_hard_state() = hard_state;
-  return recordOf(record);
+  return encodeRecord(record);
 }
 
 Result<std::string> readFile(const std::filesystem::path& path) {
@@ -249,7 +249,7 @@
   if (ready.truncate_from != 0) {
     v1::RaftLogRecord record;
     record.set_truncate_from(ready.truncate_from);
-    bytes += recordOf(record);
+    bytes += encodeRecord(record);
   }
   for (const v1::RaftEntry& entry : ready.entries) {
     bytes += entryRecord(entry);
--- a/src/adapters/disk/record_file.cc
+++ b/src/adapters/disk/record_file.cc
@@ -36,7 +36,7 @@
 }
 
 /// @return whether a whole, undamaged record starts at `offset`.
-bool recordAt(const std::string& content, size_t offset) {
+bool hasValidRecordAt(const std::string& content, size_t offset) {
   if (content.size() - offset < kHeaderSize || readNumber(content, offset) != kMagic) {
     return false;
   }
@@ -48,9 +48,9 @@
   return checksumOf(payload) == readNumber(content, offset + kChecksumOffset);
 }
 
-bool recordBehind(const std::string& content, size_t offset) {
+bool hasRecordAfter(const std::string& content, size_t offset) {
   for (size_t position = offset + 1; position + kHeaderSize <= content.size(); ++position) {
-    if (recordAt(content, position)) {
+    if (hasValidRecordAt(content, position)) {
       return true;
     }
   }
@@ -70,8 +70,8 @@
   RecordScan scan;
   size_t offset = 0;
   while (offset < content.size()) {
-    if (!recordAt(content, offset)) {
-      if (recordBehind(content, offset)) {
+    if (!hasValidRecordAt(content, offset)) {
+      if (hasRecordAfter(content, offset)) {
         return Error{"damaged record in " + name + " at offset " + std::to_string(offset) +
                      ": this replica does not start; replace it from the others"};
       }
--- a/src/adapters/http/simple_get.cc
+++ b/src/adapters/http/blocking_client.cc
@@ -1,4 +1,4 @@
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 
 #include <chrono>
 
@@ -27,8 +27,8 @@
 
 } // namespace
 
-Result<Response> simpleCall(const std::string& address, Verb method, const std::string& target,
-                            const std::string& body, const std::vector<SimpleHeader>& headers) {
+Result<Response> blockingCall(const std::string& address, Verb method, const std::string& target,
+                              const std::string& body, const std::vector<RequestHeader>& headers) {
   const auto endpoint = parseEndpoint(address);
   if (!endpoint) {
     return Error{"not an address \"ip:port\": " + address};
@@ -40,7 +40,7 @@
       runStep(context, [&](auto done) { stream.async_connect(*endpoint, done); });
   Request request(method, target, 11);
   request.set(Field::host, address);
-  for (const SimpleHeader& header : headers) {
+  for (const RequestHeader& header : headers) {
     request.set(header.name, header.value);
   }
   request.body() = body;
@@ -60,8 +60,8 @@
   return response;
 }
 
-Result<std::string> simpleGet(const std::string& address, const std::string& target) {
-  const auto response = simpleCall(address, Verb::get, target, "", {});
+Result<std::string> blockingGet(const std::string& address, const std::string& target) {
+  const auto response = blockingCall(address, Verb::get, target, "", {});
   if (isError(response)) {
     return errorOf(response);
   }
--- a/src/adapters/http/simple_get.h
+++ b/src/adapters/http/blocking_client.h
@@ -10,17 +10,17 @@
 
 namespace workshatch::http {
 
-struct SimpleHeader {
+struct RequestHeader {
   std::string name;
   std::string value;
 };
 
 /// Sends a request and waits for its whole answer.
 /// @return an error when the call failed; an answer with any status is a value.
-Result<Response> simpleCall(const std::string& address, Verb method, const std::string& target,
-                            const std::string& body, const std::vector<SimpleHeader>& headers);
+Result<Response> blockingCall(const std::string& address, Verb method, const std::string& target,
+                              const std::string& body, const std::vector<RequestHeader>& headers);
 
 /// @return the body of an answer with status 200, else an error.
-Result<std::string> simpleGet(const std::string& address, const std::string& target);
+Result<std::string> blockingGet(const std::string& address, const std::string& target);
 
 } // namespace workshatch::http
--- a/src/adapters/http/http_client.cc
+++ b/src/adapters/http/http_client.cc
@@ -19,7 +19,7 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kReadSize = size_t{16} * 1024;
-constexpr size_t kKeptPerAddress = 64;
+constexpr size_t kMaxIdlePerAddress = 64;
 
 CallError errorOf(CallPhase phase, beast::error_code failure) {
   return CallError{
@@ -57,19 +57,19 @@
   }
 }
 
-ClientAnswer::ClientAnswer(Client& client, std::string address)
+ClientResponse::ClientResponse(Client& client, std::string address)
     : client_(client), address_(std::move(address)) {
   parser_.body_limit(boost::none);
 }
 
-void ClientAnswer::cancel() {
+void ClientResponse::cancel() {
   cancelled_ = true;
   if (stream_) {
     stream_->close();
   }
 }
 
-awaitable<std::variant<std::string, CallError>> ClientAnswer::read() {
+awaitable<std::variant<std::string, CallError>> ClientResponse::read() {
   std::string part(kReadSize, '\0');
   while (!parser_.is_done()) {
     parser_.get().body().data = part.data();
@@ -92,12 +92,12 @@
   }
   if (stream_ && parser_.get().keep_alive() && buffer_.size() == 0) {
     stream_->expires_never();
-    client_.keep(address_, std::move(stream_));
+    client_.addIdle(address_, std::move(stream_));
   }
   co_return std::string();
 }
 
-awaitable<std::variant<std::string, CallError>> ClientAnswer::readAll(size_t limit) {
+awaitable<std::variant<std::string, CallError>> ClientResponse::readAll(size_t limit) {
   std::string body;
   while (true) {
     auto part = co_await read();
@@ -115,8 +115,8 @@
   }
 }
 
-Client::Stream Client::takeKept(const std::string& address) {
-  std::vector<Stream>& streams = kept_[address];
+Client::Stream Client::takeIdle(const std::string& address) {
+  std::vector<Stream>& streams = idle_[address];
   while (!streams.empty()) {
     Stream stream = std::move(streams.back());
     streams.pop_back();
@@ -132,9 +132,9 @@
   return nullptr;
 }
 
-void Client::keep(const std::string& address, Stream stream) {
-  std::vector<Stream>& streams = kept_[address];
-  if (streams.size() < kKeptPerAddress) {
+void Client::addIdle(const std::string& address, Stream stream) {
+  std::vector<Stream>& streams = idle_[address];
+  if (streams.size() < kMaxIdlePerAddress) {
     streams.push_back(std::move(stream));
   }
 }
@@ -163,32 +163,32 @@
                                        const CallOptions& options, CallCancel* cancel) {
   CallCancel none;
   CallCancel* active = cancel != nullptr ? cancel : &none;
-  auto answer = std::make_unique<ClientAnswer>(*this, address);
-  answer->stream_ = std::move(stream);
-  answer->read_timeout_ = options.read_timeout;
-  const CancelScope scope(active, active->stream_, answer->stream_.get());
+  auto response = std::make_unique<ClientResponse>(*this, address);
+  response->stream_ = std::move(stream);
+  response->read_timeout_ = options.read_timeout;
+  const CancelScope scope(active, active->stream_, response->stream_.get());
   if (active->cancelled()) {
     co_return CallError{.phase = CallPhase::NotSent, .message = "cancelled"};
   }
-  answer->stream_->expires_after(options.read_timeout);
+  response->stream_->expires_after(options.read_timeout);
   const auto [write_failure, written] =
-      co_await beast::http::async_write(*answer->stream_, request, kAwait);
+      co_await beast::http::async_write(*response->stream_, request, kAwait);
   if (write_failure) {
     co_return errorOf(CallPhase::Sent, write_failure);
   }
   const auto [read_failure, bytes] = co_await beast::http::async_read_header(
-      *answer->stream_, answer->buffer_, answer->parser_, kAwait);
+      *response->stream_, response->buffer_, response->parser_, kAwait);
   if (read_failure) {
     co_return errorOf(CallPhase::Sent, read_failure);
   }
-  co_return std::move(answer);
+  co_return std::move(response);
 }
 
-std::optional<uint32_t> backoffAskedMs(const ClientAnswer& answer) {
-  const bool turned_away = answer.status() == Status::too_many_requests ||
-                           answer.status() == Status::service_unavailable;
-  const auto told = turned_away ? answer.header("Retry-After") : std::nullopt;
-  return told ? parseRetryAfterMs(*told) : std::nullopt;
+std::optional<uint32_t> requestedBackoffMs(const ClientResponse& response) {
+  const bool rejected = response.status() == Status::too_many_requests ||
+                        response.status() == Status::service_unavailable;
+  const auto retry_after = rejected ? response.header("Retry-After") : std::nullopt;
+  return retry_after ? parseRetryAfterMs(*retry_after) : std::nullopt;
 }
 
 awaitable<CallResult> Client::call(const std::string& address, Request request, CallOptions options,
@@ -197,8 +197,8 @@
   request.prepare_payload();
   CallPhase phase = CallPhase::NotSent;
   if (!options.fresh_connection) {
-    if (Stream kept = takeKept(address)) {
-      CallResult result = co_await exchange(std::move(kept), address, request, options, cancel);
+    if (Stream idle = takeIdle(address)) {
+      CallResult result = co_await exchange(std::move(idle), address, request, options, cancel);
       const bool cancelled = cancel != nullptr && cancel->cancelled();
       const CallError* error = std::get_if<CallError>(&result);
       if (error == nullptr || error->timed_out || cancelled) {
--- a/src/adapters/http/http_client.h
+++ b/src/adapters/http/http_client.h
@@ -45,9 +45,9 @@
 class Client;
 
 /// An answer whose body is read in parts. Lives on the worker that made the call.
-class ClientAnswer {
+class ClientResponse {
 public:
-  ClientAnswer(Client& client, std::string address);
+  ClientResponse(Client& client, std::string address);
 
   Status status() const { return parser_.get().result(); }
   std::optional<std::string> header(std::string_view name) const {
@@ -77,9 +77,9 @@
 
 /// @return for how many milliseconds the server wants no further calls: it turned this one away
 /// (429, 503) and told a time. Nothing: it did not, or its time can't be read.
-std::optional<uint32_t> backoffAskedMs(const ClientAnswer& answer);
+std::optional<uint32_t> requestedBackoffMs(const ClientResponse& response);
 
-using CallResult = std::variant<std::unique_ptr<ClientAnswer>, CallError>;
+using CallResult = std::variant<std::unique_ptr<ClientResponse>, CallError>;
 
 /// Stops a call from outside. Lives on the worker that makes the call.
 class CallCancel {
@@ -89,7 +89,7 @@
 
 private:
   friend class Client;
-  friend class ClientAnswer;
+  friend class ClientResponse;
   boost::beast::tcp_stream* stream_ = nullptr;
   bool cancelled_ = false;
 };
@@ -104,18 +104,18 @@
                              CallCancel* cancel = nullptr);
 
 private:
-  friend class ClientAnswer;
+  friend class ClientResponse;
   using Stream = std::unique_ptr<boost::beast::tcp_stream>;
 
   awaitable<std::variant<Stream, CallError>>
   connect(const std::string& address, const CallOptions& options, CallCancel* cancel);
   awaitable<CallResult> exchange(Stream stream, const std::string& address, Request& request,
                                  const CallOptions& options, CallCancel* cancel);
-  Stream takeKept(const std::string& address);
-  void keep(const std::string& address, Stream stream);
+  Stream takeIdle(const std::string& address);
+  void addIdle(const std::string& address, Stream stream);
 
   boost::asio::io_context& context_;
-  std::map<std::string, std::vector<Stream>> kept_;
+  std::map<std::string, std::vector<Stream>> idle_;
 };
 
 } // namespace workshatch::http
--- a/src/adapters/http/http_server.cc
+++ b/src/adapters/http/http_server.cc
@@ -29,9 +29,9 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
 /// Watches a connection for its end while a request is in progress, without reading from it.
-class HangUpWatch : public std::enable_shared_from_this<HangUpWatch> {
+class DisconnectMonitor : public std::enable_shared_from_this<DisconnectMonitor> {
 public:
-  explicit HangUpWatch(Exchange* exchange) : exchange_(exchange) {}
+  explicit DisconnectMonitor(Exchange* exchange) : exchange_(exchange) {}
 
   void start(tcp::socket& socket) {
     socket.async_wait(
@@ -42,7 +42,7 @@
           char byte = 0;
           const ssize_t count = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
           if (count == 0 || (count < 0 && errno != EAGAIN && errno != EINTR)) {
-            self->exchange_->noteHangUp();
+            self->exchange_->handleDisconnect();
           }
         });
   }
@@ -60,7 +60,7 @@
       : timer_(stream.get_executor(), limit) {
     timer_.async_wait([&stream, state = state_](beast::error_code failure) {
       if (!failure && !state->finished) {
-        state->passed = true;
+        state->expired = true;
         stream.cancel();
       }
     });
@@ -70,13 +70,13 @@
   bool finish() {
     state_->finished = true;
     timer_.cancel();
-    return state_->passed;
+    return state_->expired;
   }
 
 private:
   struct State {
     bool finished = false;
-    bool passed = false;
+    bool expired = false;
   };
   std::shared_ptr<State> state_ = std::make_shared<State>();
   asio::steady_timer timer_;
@@ -113,7 +113,7 @@
 Exchange::Exchange(beast::tcp_stream& stream, Request request, std::chrono::milliseconds timeout,
                    bool keep_alive)
     : stream_(stream), request_(std::move(request)), timeout_(timeout), keep_alive_(keep_alive),
-      held_timer_(stream.get_executor(), asio::steady_timer::time_point::max()) {}
+      buffered_bytes_timer_(stream.get_executor(), asio::steady_timer::time_point::max()) {}
 
 std::string Exchange::peer() const {
   beast::error_code failure;
@@ -122,7 +122,7 @@
 }
 
 awaitable<bool> Exchange::respond(Response response) {
-  answered_ = true;
+  response_started_ = true;
   response.keep_alive(keep_alive_);
   stream_.expires_after(timeout_);
   const auto [failure, bytes] = co_await beast::http::async_write(stream_, response, kAwait);
@@ -132,7 +132,7 @@
 }
 
 awaitable<bool> Exchange::startStream(Response head) {
-  answered_ = true;
+  response_started_ = true;
   beast::http::response<beast::http::empty_body> message(head.result(), 11);
   for (const auto& field : head) {
     message.insert(field.name(), field.name_string(), field.value());
@@ -168,7 +168,7 @@
   char size[20];
   const auto end = std::to_chars(std::begin(size), std::end(size), data.size(), 16).ptr;
   backlog_.append(std::begin(size), end).append("\r\n").append(data).append("\r\n");
-  heldChanged();
+  notifyBufferedBytesChange();
   if (!std::exchange(writing_, true)) {
     asio::co_spawn(stream_.get_executor(), writeBacklog(), asio::detached);
   }
@@ -177,48 +177,48 @@
 awaitable<void> Exchange::writeBacklog() {
   while (!backlog_.empty() && !broken_) {
     // A caller may take as long for each part as for a small answer.
-    constexpr size_t kMostAtOnce = size_t{16} * 1024;
-    const std::string part = backlog_.substr(0, kMostAtOnce);
+    constexpr size_t kMaxWriteBytes = size_t{16} * 1024;
+    const std::string part = backlog_.substr(0, kMaxWriteBytes);
     backlog_.erase(0, part.size());
     writing_bytes_ = part.size();
     stream_.expires_after(timeout_);
     const auto [failure, bytes] = co_await asio::async_write(stream_, asio::buffer(part), kAwait);
     stream_.expires_never();
     broken_ = broken_ || failure;
-    taken_bytes_ += bytes;
+    written_bytes_ += bytes;
     writing_bytes_ = 0;
-    heldChanged();
+    notifyBufferedBytesChange();
   }
   writing_ = false;
-  heldChanged();
+  notifyBufferedBytesChange();
 }
 
-void Exchange::heldChanged() {
-  if (held_hook_) {
-    held_hook_();
+void Exchange::notifyBufferedBytesChange() {
+  if (buffered_bytes_hook_) {
+    buffered_bytes_hook_();
   }
-  held_timer_.cancel();
+  buffered_bytes_timer_.cancel();
 }
 
-awaitable<bool> Exchange::drained(size_t most_bytes) {
-  while (!broken_ && bufferedBytes() > most_bytes) {
-    co_await held_timer_.async_wait(kAwait);
+awaitable<bool> Exchange::drainTo(size_t max_bytes) {
+  while (!broken_ && bufferedBytes() > max_bytes) {
+    co_await buffered_bytes_timer_.async_wait(kAwait);
   }
   co_return !broken_;
 }
 
-awaitable<void> Exchange::settle() {
+awaitable<void> Exchange::awaitWrites() {
   if (writing_ && broken_) {
     stream_.cancel();
   }
   while (writing_) {
-    co_await held_timer_.async_wait(kAwait);
+    co_await buffered_bytes_timer_.async_wait(kAwait);
   }
 }
 
 awaitable<bool> Exchange::finish() {
-  const bool taken = co_await drained(0);
-  if (!taken) {
+  const bool flushed = co_await drainTo(0);
+  if (!flushed) {
     co_return false;
   }
   stream_.expires_after(timeout_);
@@ -231,42 +231,44 @@
 
 void Exchange::abort() {
   broken_ = true;
-  answered_ = true;
-  held_timer_.cancel();
+  response_started_ = true;
+  buffered_bytes_timer_.cancel();
   beast::error_code ignored;
   stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
   stream_.close();
 }
 
-void Exchange::breakOff() {
+void Exchange::closeIncomplete() {
   broken_ = true;
-  answered_ = true;
-  held_timer_.cancel();
+  response_started_ = true;
+  buffered_bytes_timer_.cancel();
 }
 
-void Exchange::onHangUp(std::function<void()> hook) {
-  hang_up_hook_ = std::move(hook);
-  if (hung_up_ && hang_up_hook_) {
-    std::exchange(hang_up_hook_, nullptr)();
+void Exchange::onDisconnect(std::function<void()> hook) {
+  disconnect_hook_ = std::move(hook);
+  if (client_disconnected_ && disconnect_hook_) {
+    std::exchange(disconnect_hook_, nullptr)();
   }
 }
 
-void Exchange::noteHangUp() {
-  hung_up_ = true;
+void Exchange::handleDisconnect() {
+  client_disconnected_ = true;
   broken_ = true;
-  held_timer_.cancel();
-  if (hang_up_hook_) {
-    std::exchange(hang_up_hook_, nullptr)();
+  buffered_bytes_timer_.cancel();
+  if (disconnect_hook_) {
+    std::exchange(disconnect_hook_, nullptr)();
   }
 }
 
-Server::Server(WorkerPool& workers, LimitsSource limits, Handler handler, Refusal refusal)
+Server::Server(WorkerPool& workers, LimitsSource limits, Handler handler,
+               ErrorResponder error_responder)
     : workers_(workers), limits_(std::move(limits)), handler_(std::move(handler)),
-      refusal_(std::move(refusal)) {}
+      error_responder_(std::move(error_responder)) {}
 
-Server::Server(WorkerPool& workers, ServerLimits limits, Handler handler, Refusal refusal)
+Server::Server(WorkerPool& workers, ServerLimits limits, Handler handler,
+               ErrorResponder error_responder)
     : Server(
-          workers, [limits] { return limits; }, std::move(handler), std::move(refusal)) {}
+          workers, [limits] { return limits; }, std::move(handler), std::move(error_responder)) {}
 
 Server::~Server() { stopAccepting(); }
 
@@ -339,7 +341,7 @@
   const size_t open = stats_.open_connections.fetch_add(1) + 1;
   if (open > limits_().connections) {
     ++stats_.refused_connections;
-    co_await refuse(stream, Status::service_unavailable, "max_connections is reached");
+    co_await reject(stream, Status::service_unavailable, "max_connections is reached");
   } else {
     co_await serveRequests(stream);
   }
@@ -347,20 +349,20 @@
   --stats_.open_connections;
 }
 
-awaitable<void> Server::refuse(beast::tcp_stream& stream, Status status, std::string reason) {
-  Response response = refusal_(status, reason);
+awaitable<void> Server::reject(beast::tcp_stream& stream, Status status, std::string reason) {
+  Response response = error_responder_(status, reason);
   response.keep_alive(false);
   stream.expires_after(limits_().read_timeout);
   co_await beast::http::async_write(stream, response, kAwait);
   // Closing with unread input would reset the connection and lose the answer.
   beast::error_code ignored;
   stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
-  constexpr size_t kMostDiscarded = 1U << 20U;
+  constexpr size_t kMaxDiscardedBytes = 1U << 20U;
   char discarded[4096];
   size_t total = 0;
   constexpr std::chrono::seconds kLinger{1};
   stream.expires_after(kLinger);
-  while (total < kMostDiscarded) {
+  while (total < kMaxDiscardedBytes) {
     const auto [failure, bytes] = co_await stream.async_read_some(asio::buffer(discarded), kAwait);
     if (failure) {
       co_return;
@@ -415,7 +417,7 @@
                         failure == beast::http::error::partial_message;
       if (!gone) {
         const Status status = statusOfReadFailure(failure);
-        co_await refuse(stream, status, reasonOfReadFailure(status));
+        co_await reject(stream, status, reasonOfReadFailure(status));
       }
       co_return;
     }
@@ -423,19 +425,19 @@
     const bool host_missing = parser.get().version() >= 11 && parser.get()[Field::host].empty();
     if (host_missing) {
       ++stats_.bad_requests;
-      co_await refuse(stream, Status::bad_request, "the Host header is missing");
+      co_await reject(stream, Status::bad_request, "the Host header is missing");
       co_return;
     }
     const bool keep_alive = parser.get().keep_alive() && !closing_;
     Exchange exchange(stream, parser.release(), limits.read_timeout, keep_alive);
-    auto watch = std::make_shared<HangUpWatch>(&exchange);
-    watch->start(stream.socket());
+    auto monitor = std::make_shared<DisconnectMonitor>(&exchange);
+    monitor->start(stream.socket());
     ++in_progress_;
     co_await handler_(exchange);
-    co_await exchange.settle();
+    co_await exchange.awaitWrites();
     --in_progress_;
-    watch->detach();
-    if (!exchange.keepAlive() || !exchange.answered()) {
+    monitor->detach();
+    if (!exchange.keepAlive() || !exchange.responseStarted()) {
       co_return;
     }
     beast::error_code ignored;
--- a/src/adapters/http/http_server.h
+++ b/src/adapters/http/http_server.h
@@ -53,57 +53,57 @@
   /// the caller reads.
   void send(std::string_view data);
   /// Waits until at most so many bytes are held. @return false when the caller is gone.
-  awaitable<bool> drained(size_t most_bytes);
+  awaitable<bool> drainTo(size_t max_bytes);
   /// Waits for what is held, then ends the answer.
   awaitable<bool> finish();
 
   /// Bytes of the answer that the caller has not taken, and that it has.
   size_t bufferedBytes() const { return backlog_.size() + writing_bytes_; }
-  uint64_t takenBytes() const { return taken_bytes_; }
+  uint64_t writtenBytes() const { return written_bytes_; }
   /// `hook` runs on this worker each time `bufferedBytes` changes.
-  void onHeldChange(std::function<void()> hook) { held_hook_ = std::move(hook); }
+  void onBufferedBytesChange(std::function<void()> hook) { buffered_bytes_hook_ = std::move(hook); }
   /// Waits until nothing is being written any more; the exchange must not end before.
-  awaitable<void> settle();
+  awaitable<void> awaitWrites();
 
   /// Whether the caller still takes the answer.
-  bool keepsUp() const { return !broken_; }
-  bool answered() const { return answered_; }
+  bool isWritable() const { return !broken_; }
+  bool responseStarted() const { return response_started_; }
   bool keepAlive() const { return keep_alive_ && !broken_; }
   /// Closes the connection after this answer.
-  void closeAfter() { keep_alive_ = false; }
+  void closeAfterResponse() { keep_alive_ = false; }
   /// Ends the connection without a further byte; bytes under way may be lost.
   void abort();
   /// Ends the connection after what was written, without the end of the answer.
-  void breakOff();
+  void closeIncomplete();
 
   /// Whether the caller has closed its connection.
-  bool hungUp() const { return hung_up_; }
+  bool clientDisconnected() const { return client_disconnected_; }
   /// `hook` runs once, on this worker, when the caller closes its connection.
-  void onHangUp(std::function<void()> hook);
-  void noteHangUp();
+  void onDisconnect(std::function<void()> hook);
+  void handleDisconnect();
 
 private:
   boost::beast::tcp_stream& stream_;
   Request request_;
   std::chrono::milliseconds timeout_;
   bool keep_alive_;
-  bool answered_ = false;
+  bool response_started_ = false;
   bool broken_ = false;
-  bool hung_up_ = false;
-  std::function<void()> hang_up_hook_;
+  bool client_disconnected_ = false;
+  std::function<void()> disconnect_hook_;
 
   awaitable<void> writeBacklog();
-  void heldChanged();
+  void notifyBufferedBytesChange();
 
   /// Not written yet, framed as chunks.
   std::string backlog_;
   /// The writer runs, and has so many bytes under way.
   bool writing_ = false;
   size_t writing_bytes_ = 0;
-  uint64_t taken_bytes_ = 0;
-  std::function<void()> held_hook_;
+  uint64_t written_bytes_ = 0;
+  std::function<void()> buffered_bytes_hook_;
   /// Cancelled each time `bufferedBytes` changes.
-  boost::asio::steady_timer held_timer_;
+  boost::asio::steady_timer buffered_bytes_timer_;
 };
 
 /// Counters of one server. Safe for concurrent use.
@@ -119,12 +119,12 @@
 public:
   using Handler = std::function<awaitable<void>(Exchange&)>;
   /// Makes the answer to a request that the server itself refuses.
-  using Refusal = std::function<Response(Status status, const std::string& reason)>;
+  using ErrorResponder = std::function<Response(Status status, const std::string& reason)>;
   /// Gives the limits in force for the next request.
   using LimitsSource = std::function<ServerLimits()>;
 
-  Server(WorkerPool& workers, LimitsSource limits, Handler handler, Refusal refusal);
-  Server(WorkerPool& workers, ServerLimits limits, Handler handler, Refusal refusal);
+  Server(WorkerPool& workers, LimitsSource limits, Handler handler, ErrorResponder error_responder);
+  Server(WorkerPool& workers, ServerLimits limits, Handler handler, ErrorResponder error_responder);
   ~Server();
 
   /// @return the address in use, which matters for port zero.
@@ -146,12 +146,12 @@
   awaitable<void> serve(boost::asio::ip::tcp::socket socket);
   awaitable<void> serveRequests(boost::beast::tcp_stream& stream);
   awaitable<bool> awaitRequest(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer);
-  awaitable<void> refuse(boost::beast::tcp_stream& stream, Status status, std::string reason);
+  awaitable<void> reject(boost::beast::tcp_stream& stream, Status status, std::string reason);
 
   WorkerPool& workers_;
   const LimitsSource limits_;
   const Handler handler_;
-  const Refusal refusal_;
+  const ErrorResponder error_responder_;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
   std::atomic<bool> closing_{false};
   std::atomic<size_t> in_progress_{0};
--- a/src/adapters/http/http_types.cc
+++ b/src/adapters/http/http_types.cc
@@ -44,8 +44,9 @@
   const auto address = boost::asio::ip::make_address(std::string(host), failure);
   uint16_t port = 0;
   const auto parsed = std::from_chars(port_text.data(), port_text.data() + port_text.size(), port);
-  const bool whole = parsed.ec == std::errc() && parsed.ptr == port_text.data() + port_text.size();
-  if (failure || !whole) {
+  const bool port_parsed =
+      parsed.ec == std::errc() && parsed.ptr == port_text.data() + port_text.size();
+  if (failure || !port_parsed) {
     return std::nullopt;
   }
   return boost::asio::ip::tcp::endpoint(address, port);
--- a/src/adapters/http/runner_connection.h
+++ b/src/adapters/http/runner_connection.h
@@ -31,20 +31,20 @@
 
   /// @return nothing on success.
   awaitable<std::optional<CallError>> connect(const boost::asio::ip::tcp::endpoint& endpoint,
-                                              std::chrono::milliseconds limit);
+                                              std::chrono::milliseconds timeout);
 
   /// Sends a request and reads the answer's header; both at the same time, since a runner may
   /// answer before it has read the whole body.
   /// @param request head and body as sent
   /// @param silence longest wait for the answer's first byte; zero: as long as it takes
   awaitable<std::optional<CallError>> exchange(std::string request,
-                                               std::chrono::milliseconds silence);
+                                               std::chrono::milliseconds timeout);
 
   /// Of the answer, after `exchange`.
   const boost::beast::http::response_header<>& head() const { return parser_->get().base(); }
 
   /// One part of the body; empty at its end.
-  awaitable<std::variant<std::string, CallError>> read(std::chrono::milliseconds silence);
+  awaitable<std::variant<std::string, CallError>> read(std::chrono::milliseconds timeout);
 
   /// Ends the connection; what is in progress on it fails.
   void close();
@@ -54,11 +54,11 @@
   bool reusable() const;
 
   /// @return whether nothing is to be read, as on a connection that waits for a request.
-  bool quiet();
+  bool hasNoPendingInput();
 
 private:
-  void armSilence(std::chrono::milliseconds silence);
-  CallError failure(CallPhase phase, boost::system::error_code error) const;
+  void startReadTimer(std::chrono::milliseconds timeout);
+  CallError makeError(CallPhase phase, boost::system::error_code error) const;
 
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
@@ -67,8 +67,8 @@
   std::string request_;
   bool request_sent_ = false;
   bool closed_ = false;
-  bool silent_ = false;
-  uint64_t silence_round_ = 0;
+  bool timed_out_ = false;
+  uint64_t timeout_generation_ = 0;
 };
 
 /// Connections that wait for their next request, by address. Lives on one event loop.
@@ -77,16 +77,16 @@
   explicit RunnerConnectionPool(const Clock& clock) : clock_(clock) {}
 
   /// @return a connection that may be used, or null.
-  std::shared_ptr<RunnerConnection> take(const std::string& address);
+  std::shared_ptr<RunnerConnection> acquire(const std::string& address);
   /// Keeps a reusable connection for as long as the runner's answer allows.
-  void give(const std::string& address, std::shared_ptr<RunnerConnection> connection);
+  void release(const std::string& address, std::shared_ptr<RunnerConnection> connection);
   /// Closes connections that have waited too long.
   void dropExpired();
 
 private:
   struct Idle {
     std::shared_ptr<RunnerConnection> connection;
-    int64_t until_ms = 0;
+    int64_t expires_ms = 0;
   };
 
   const Clock& clock_;
--- a/src/adapters/link/framed_link.cc
+++ b/src/adapters/link/framed_link.cc
@@ -18,12 +18,12 @@
 namespace {
 
 constexpr size_t kLengthBytes = 4;
-constexpr size_t kMostFrameBytes = size_t{16} * 1024 * 1024;
-constexpr size_t kMostQueuedBytes = size_t{16} * 1024 * 1024;
+constexpr size_t kMaxFrameBytes = size_t{16} * 1024 * 1024;
+constexpr size_t kMaxQueuedBytes = size_t{16} * 1024 * 1024;
 constexpr size_t kReadBytes = 2048;
 /// An input buffer that grew beyond this is given back once it is empty.
-constexpr size_t kKeptInputBytes = 16384;
-constexpr std::chrono::milliseconds kSilenceLimit{1500};
+constexpr size_t kMaxIdleInputCapacity = 16384;
+constexpr std::chrono::milliseconds kPeerTimeout{1500};
 constexpr unsigned kByteBits = 8;
 constexpr unsigned kByteMask = 0xff;
 
@@ -44,7 +44,7 @@
 } // namespace
 
 FramedLink::FramedLink(Socket socket) : socket_(std::move(socket)) {
-  tcp_options::setUp(socket_, kSilenceLimit);
+  tcp_options::configure(socket_, kPeerTimeout);
 }
 
 void FramedLink::start(FrameHandler on_frame, CloseHandler on_close) {
@@ -63,7 +63,7 @@
                             }
                             self->input_.resize(filled + bytes);
                             self->bytes_received_ += bytes;
-                            if (failure || !self->takeFrames()) {
+                            if (failure || !self->parseFrames()) {
                               self->fail();
                               return;
                             }
@@ -73,11 +73,11 @@
                           });
 }
 
-bool FramedLink::takeFrames() {
+bool FramedLink::parseFrames() {
   size_t at = 0;
   while (open_ && input_.size() - at >= kLengthBytes) {
     const uint32_t length = lengthAt(input_, at);
-    if (length > kMostFrameBytes) {
+    if (length > kMaxFrameBytes) {
       return false;
     }
     if (input_.size() - at - kLengthBytes < length) {
@@ -91,7 +91,7 @@
     on_frame_(std::move(frame));
   }
   input_.erase(0, at);
-  if (input_.empty() && input_.capacity() > kKeptInputBytes) {
+  if (input_.empty() && input_.capacity() > kMaxIdleInputCapacity) {
     input_.shrink_to_fit();
   }
   return true;
@@ -101,7 +101,7 @@
   if (!open_) {
     return false;
   }
-  if (queued_.size() > kMostQueuedBytes) {
+  if (queued_.size() > kMaxQueuedBytes) {
     fail();
     return false;
   }
@@ -202,7 +202,7 @@
   DialHandler done;
 };
 
-void LinkDialer::dial(const std::string& address, std::chrono::milliseconds limit,
+void LinkDialer::dial(const std::string& address, std::chrono::milliseconds timeout,
                       DialHandler done) {
   cancel();
   const auto endpoint = http::parseEndpoint(address);
@@ -227,7 +227,7 @@
     attempt->socket.close(ignored);
     handler(nullptr);
   };
-  attempt->timer.expires_after(limit);
+  attempt->timer.expires_after(timeout);
   attempt->timer.async_wait([finish](error_code failure) {
     if (!failure) {
       finish(false);
--- a/src/adapters/link/framed_link.h
+++ b/src/adapters/link/framed_link.h
@@ -52,7 +52,7 @@
 private:
   void read();
   /// @return false when the bytes are no frame.
-  bool takeFrames();
+  bool parseFrames();
   void write();
   void fail();
 
@@ -88,7 +88,7 @@
 /// How long a link may take to come up: several round trips between regions. A machine without
 /// power does not answer at all, and a lost opening packet is sent again only after seconds:
 /// another attempt is the quicker way.
-inline constexpr std::chrono::milliseconds kDialLimit{150};
+inline constexpr std::chrono::milliseconds kDialTimeout{150};
 
 /// Opens one link. Lives on one event loop; destroyed, it gives up.
 class LinkDialer {
@@ -101,7 +101,7 @@
   LinkDialer(const LinkDialer&) = delete;
   LinkDialer& operator=(const LinkDialer&) = delete;
 
-  void dial(const std::string& address, std::chrono::milliseconds limit, DialHandler done);
+  void dial(const std::string& address, std::chrono::milliseconds timeout, DialHandler done);
   void cancel();
 
 private:
--- a/src/adapters/link/link_pool.cc
+++ b/src/adapters/link/link_pool.cc
@@ -29,8 +29,8 @@
     peer->link->send(frame);
     return;
   }
-  peer->waiting = frame;
-  peer->has_waiting = true;
+  peer->pending_frame = frame;
+  peer->has_pending_frame = true;
   if (!peer->dialing && clock_.monotonicMs() >= peer->retry_at_ms) {
     dial(address, *peer);
   }
@@ -38,7 +38,7 @@
 
 void LinkPool::dial(const std::string& address, Peer& peer) {
   peer.dialing = true;
-  peer.dialer.dial(address, kDialLimit, [this, &peer](std::shared_ptr<FramedLink> link) {
+  peer.dialer.dial(address, kDialTimeout, [this, &peer](std::shared_ptr<FramedLink> link) {
     peer.dialing = false;
     if (!link) {
       peer.retry_at_ms = clock_.monotonicMs() + kRetryMs;
@@ -46,9 +46,9 @@
     }
     peer.link = std::move(link);
     peer.link->start([](v1::Frame) {}, [&peer] { peer.link.reset(); });
-    if (std::exchange(peer.has_waiting, false)) {
-      peer.link->send(peer.waiting);
-      peer.waiting.Clear();
+    if (std::exchange(peer.has_pending_frame, false)) {
+      peer.link->send(peer.pending_frame);
+      peer.pending_frame.Clear();
     }
   });
 }
--- a/src/adapters/link/link_pool.h
+++ b/src/adapters/link/link_pool.h
@@ -35,8 +35,8 @@
     bool dialing = false;
     int64_t retry_at_ms = 0;
     /// The newest frame, sent once the link is up; older ones are lost.
-    v1::Frame waiting;
-    bool has_waiting = false;
+    v1::Frame pending_frame;
+    bool has_pending_frame = false;
   };
 
   void dial(const std::string& address, Peer& peer);
--- a/src/adapters/logging/bounded_output.cc
+++ b/src/adapters/logging/bounded_output.cc
@@ -11,12 +11,12 @@
 namespace {
 
 /// Some 300 lines; a node may use 32 MB.
-constexpr size_t kMostKeptBytes = size_t{64} * 1024;
+constexpr size_t kMaxBufferedBytes = size_t{64} * 1024;
 
 } // namespace
 
-bool BoundedOutput::takesLine() {
-  if (kept_.size() >= kMostKeptBytes) {
+bool BoundedOutput::tryReserveLine() {
+  if (buffer_.size() >= kMaxBufferedBytes) {
     ++dropped_;
     return false;
   }
@@ -25,23 +25,23 @@
 
 void BoundedOutput::flush() {
   size_t written = 0;
-  while (written < kept_.size() && readerTakesMore()) {
+  while (written < buffer_.size() && isWritable()) {
     // A pipe that polls writable takes PIPE_BUF bytes without blocking.
-    const size_t part = std::min<size_t>(kept_.size() - written, PIPE_BUF);
-    const ssize_t count = ::write(descriptor_, kept_.data() + written, part);
+    const size_t part = std::min<size_t>(buffer_.size() - written, PIPE_BUF);
+    const ssize_t count = ::write(descriptor_, buffer_.data() + written, part);
     if (count <= 0) {
       break;
     }
     written += static_cast<size_t>(count);
   }
-  kept_.erase(0, written);
+  buffer_.erase(0, written);
 }
 
-uint64_t BoundedOutput::takeNewlyDropped() {
-  return dropped_ == dropped_told_ ? 0 : std::exchange(dropped_told_, dropped_);
+uint64_t BoundedOutput::takeUnreportedDrops() {
+  return dropped_ == dropped_reported_ ? 0 : std::exchange(dropped_reported_, dropped_);
 }
 
-bool BoundedOutput::readerTakesMore() const {
+bool BoundedOutput::isWritable() const {
   pollfd output{.fd = descriptor_, .events = POLLOUT, .revents = 0};
   return ::poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
 }
--- a/src/adapters/logging/bounded_output.h
+++ b/src/adapters/logging/bounded_output.h
@@ -18,24 +18,24 @@
   explicit BoundedOutput(int descriptor) : descriptor_(descriptor) {}
 
   /// @return whether another line is kept; if not, it counts as dropped.
-  bool takesLine();
+  bool tryReserveLine();
   /// Keeps a line, which ends with a line feed.
-  void add(std::string_view line) { kept_ += line; }
+  void add(std::string_view line) { buffer_ += line; }
   /// Writes as much as the reader takes now.
   void flush();
 
-  bool empty() const { return kept_.empty(); }
+  bool empty() const { return buffer_.empty(); }
   uint64_t droppedLines() const { return dropped_; }
   /// @return lines dropped since the last call that returned some.
-  uint64_t takeNewlyDropped();
+  uint64_t takeUnreportedDrops();
 
 private:
-  bool readerTakesMore() const;
+  bool isWritable() const;
 
   const int descriptor_;
-  std::string kept_;
+  std::string buffer_;
   uint64_t dropped_ = 0;
-  uint64_t dropped_told_ = 0;
+  uint64_t dropped_reported_ = 0;
 };
 
 } // namespace workshatch::logging
--- a/src/adapters/logging/json_log.cc
+++ b/src/adapters/logging/json_log.cc
@@ -28,7 +28,7 @@
 };
 
 /// The process has one standard error, so one log. Never destroyed: threads may log until the end.
-Log& theLog() {
+Log& sharedLog() {
   static Log* const log = new Log;
   return *log;
 }
@@ -65,10 +65,10 @@
 
 } // namespace
 
-void initialize(std::string_view process) { theLog().process = process; }
+void initialize(std::string_view process) { sharedLog().process = process; }
 
 void write(Severity severity, std::string_view event, const nlohmann::json& fields) {
-  Log& log = theLog();
+  Log& log = sharedLog();
   nlohmann::json line = fields;
   line["time"] = timestamp();
   line["severity"] = nameOf(severity);
@@ -77,8 +77,8 @@
   // Before the lock, which all workers share.
   std::string text = textOf(line);
   const std::lock_guard lock(log.mutex);
-  if (log.output.takesLine()) {
-    if (const uint64_t dropped = log.output.takeNewlyDropped(); dropped != 0) {
+  if (log.output.tryReserveLine()) {
+    if (const uint64_t dropped = log.output.takeUnreportedDrops(); dropped != 0) {
       line["dropped_lines"] = dropped;
       text = textOf(line);
     }
@@ -88,7 +88,7 @@
 }
 
 void finish() {
-  Log& log = theLog();
+  Log& log = sharedLog();
   const auto until = std::chrono::steady_clock::now() + kFinishLimit;
   while (std::chrono::steady_clock::now() < until) {
     {
--- a/src/adapters/logging/line_log.cc
+++ b/src/adapters/logging/line_log.cc
@@ -20,7 +20,7 @@
 };
 
 /// The process has one standard output, so one log.
-Log& theLog() {
+Log& sharedLog() {
   static Log log;
   return log;
 }
@@ -33,16 +33,16 @@
 } // namespace
 
 void initialize(std::string process, std::string role) {
-  Log& log = theLog();
+  Log& log = sharedLog();
   const std::lock_guard lock(log.mutex);
   log.process = std::move(process);
   log.role = std::move(role);
 }
 
 void write(std::string_view event, const nlohmann::json& fields) {
-  Log& log = theLog();
+  Log& log = sharedLog();
   const std::lock_guard lock(log.mutex);
-  if (!log.output.takesLine()) {
+  if (!log.output.tryReserveLine()) {
     return;
   }
   nlohmann::json line = fields.is_object() ? fields : nlohmann::json::object();
@@ -50,20 +50,20 @@
   line["process"] = log.process;
   line["role"] = log.role;
   line["event"] = event;
-  if (const uint64_t dropped = log.output.takeNewlyDropped(); dropped != 0) {
+  if (const uint64_t dropped = log.output.takeUnreportedDrops(); dropped != 0) {
     line["dropped_lines"] = dropped;
   }
   log.output.add(line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + '\n');
 }
 
 void flush() {
-  Log& log = theLog();
+  Log& log = sharedLog();
   const std::lock_guard lock(log.mutex);
   log.output.flush();
 }
 
 uint64_t droppedLines() {
-  Log& log = theLog();
+  Log& log = sharedLog();
   const std::lock_guard lock(log.mutex);
   return log.output.droppedLines();
 }
--- a/src/adapters/logging/log_report.cc
+++ b/src/adapters/logging/log_report.cc
@@ -11,12 +11,12 @@
 
 using nlohmann::json;
 
-std::string textOf(const json& fields, const char* name) {
+std::string stringMember(const json& fields, const char* name) {
   const auto found = fields.find(name);
   return found != fields.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-std::string describe(const LogLine& line) {
+std::string formatLine(const LogLine& line) {
   std::string text = std::to_string(line.time_ms) + " " + line.process + " " + line.event;
   for (const auto& [name, value] : line.fields.items()) {
     const bool shown = name != "time_ms" && name != "process" && name != "event";
@@ -28,31 +28,33 @@
 }
 
 /// Members of a line that tells a whole list.
-struct ListEvent {
+struct ListEventFormat {
   const char* event;
   const char* items;
   /// Member of an item.
   const char* name;
 };
 
-std::vector<InForceReport> newestOf(const std::vector<LogLine>& lines, const ListEvent& of) {
-  std::map<std::string, InForceReport> newest;
+std::vector<RestrictionReport> latestReports(const std::vector<LogLine>& lines,
+                                             const ListEventFormat& format) {
+  std::map<std::string, RestrictionReport> newest;
   for (const LogLine& line : lines) {
-    const auto items = line.fields.find(of.items);
+    const auto items = line.fields.find(format.items);
     const uint64_t version = line.fields.value("version", uint64_t{0});
-    const bool told = line.event == of.event && items != line.fields.end();
-    if (!told || version < newest[line.process].version) {
+    const bool matches = line.event == format.event && items != line.fields.end();
+    if (!matches || version < newest[line.process].version) {
       continue;
     }
-    InForceReport report{.process = line.process, .version = version};
+    RestrictionReport report{.process = line.process, .version = version};
     for (const json& item : *items) {
-      report.items.push_back(InForceReport::Item{.name = textOf(item, of.name),
-                                                 .since_ms = item.value("since_ms", uint64_t{0})});
+      report.items.push_back(
+          RestrictionReport::Item{.name = stringMember(item, format.name),
+                                  .since_ms = item.value("since_ms", uint64_t{0})});
     }
     newest[line.process] = std::move(report);
   }
   std::erase_if(newest, [](const auto& entry) { return entry.second.version == 0; });
-  std::vector<InForceReport> reports;
+  std::vector<RestrictionReport> reports;
   for (auto& [process, report] : newest) {
     reports.push_back(std::move(report));
   }
@@ -74,8 +76,8 @@
     if (!line.fields.is_object()) {
       continue;
     }
-    line.event = textOf(line.fields, "event");
-    line.process = textOf(line.fields, "process");
+    line.event = stringMember(line.fields, "event");
+    line.process = stringMember(line.fields, "process");
     const auto time = line.fields.find("time_ms");
     if (time != line.fields.end() && time->is_number_unsigned()) {
       line.time_ms = time->get<uint64_t>();
@@ -90,9 +92,9 @@
                                       const std::string& request) {
   std::vector<const LogLine*> found;
   for (const LogLine& line : lines) {
-    const bool about = textOf(line.fields, "request") == request ||
-                       textOf(line.fields, "request_id") == request ||
-                       textOf(line.fields, "identity") == request;
+    const bool about = stringMember(line.fields, "request") == request ||
+                       stringMember(line.fields, "request_id") == request ||
+                       stringMember(line.fields, "identity") == request;
     if (about) {
       found.push_back(&line);
     }
@@ -103,7 +105,7 @@
   std::vector<std::string> texts;
   texts.reserve(found.size());
   for (const LogLine* line : found) {
-    texts.push_back(describe(*line));
+    texts.push_back(formatLine(*line));
   }
   return texts;
 }
@@ -111,15 +113,15 @@
 std::vector<OutcomeCount> countOutcomes(const std::vector<LogLine>& lines) {
   std::map<std::tuple<std::string, std::string, std::string>, OutcomeCount> counts;
   for (const LogLine& line : lines) {
-    const std::string request = textOf(line.fields, "request");
+    const std::string request = stringMember(line.fields, "request");
     if (request.empty()) {
       continue;
     }
-    std::string outcome = textOf(line.fields, "outcome");
+    std::string outcome = stringMember(line.fields, "outcome");
     if (outcome.empty()) {
-      outcome = textOf(line.fields, "reason");
+      outcome = stringMember(line.fields, "reason");
     }
-    const std::string error = textOf(line.fields, "error");
+    const std::string error = stringMember(line.fields, "error");
     OutcomeCount& count = counts[{line.event, outcome, error}];
     if (count.count++ == 0) {
       count.event = line.event;
@@ -137,14 +139,15 @@
   return sorted;
 }
 
-std::vector<InForceReport> evacuationsOf(const std::vector<LogLine>& lines) {
-  return newestOf(lines,
-                  ListEvent{.event = "evacuations_in_force", .items = "zones", .name = "zone"});
+std::vector<RestrictionReport> latestEvacuations(const std::vector<LogLine>& lines) {
+  return latestReports(
+      lines, ListEventFormat{.event = "evacuations_in_force", .items = "zones", .name = "zone"});
 }
 
-std::vector<InForceReport> quarantineOf(const std::vector<LogLine>& lines) {
-  return newestOf(
-      lines, ListEvent{.event = "quarantine_in_force", .items = "requests", .name = "identity"});
+std::vector<RestrictionReport> latestQuarantine(const std::vector<LogLine>& lines) {
+  return latestReports(
+      lines,
+      ListEventFormat{.event = "quarantine_in_force", .items = "requests", .name = "identity"});
 }
 
 } // namespace workshatch::logging
--- a/src/adapters/logging/log_report.h
+++ b/src/adapters/logging/log_report.h
@@ -43,7 +43,7 @@
 
 /// What the operators' or the leader's orders keep from running, as a process held it when its log
 /// ended: evacuated zones, or requests in quarantine.
-struct InForceReport {
+struct RestrictionReport {
   std::string process;
   uint64_t version = 0;
   struct Item {
@@ -56,9 +56,9 @@
 };
 
 /// @return the newest evacuations of each process that logged any, by its name.
-std::vector<InForceReport> evacuationsOf(const std::vector<LogLine>& lines);
+std::vector<RestrictionReport> latestEvacuations(const std::vector<LogLine>& lines);
 
 /// @return the newest quarantine of each process that logged any, by its name.
-std::vector<InForceReport> quarantineOf(const std::vector<LogLine>& lines);
+std::vector<RestrictionReport> latestQuarantine(const std::vector<LogLine>& lines);
 
 } // namespace workshatch::logging
--- a/src/adapters/metrics/router_stats.cc
+++ b/src/adapters/metrics/router_stats.cc
@@ -24,15 +24,15 @@
 
 std::string LatencyHistogram::expose(const std::string& name, const std::string& help) const {
   std::string text;
-  const std::string full = beginMetric(text, name, help, "histogram");
+  const std::string full_name = appendMetricHeader(text, name, help, "histogram");
   uint64_t cumulative = 0;
   for (size_t i = 0; i < counts_.size(); ++i) {
     cumulative += counts_[i].load();
     const std::string bound = i < kLatencyBounds.size() ? seconds(kLatencyBounds[i]) : "+Inf";
-    text += full + "_bucket{le=\"" + bound + "\"} " + std::to_string(cumulative) + "\n";
+    text += full_name + "_bucket{le=\"" + bound + "\"} " + std::to_string(cumulative) + "\n";
   }
-  text += full + "_sum " + seconds(sum_.load()) + "\n";
-  text += full + "_count " + std::to_string(cumulative) + "\n";
+  text += full_name + "_sum " + seconds(sum_.load()) + "\n";
+  text += full_name + "_count " + std::to_string(cumulative) + "\n";
   return text;
 }
 
--- a/src/adapters/metrics/text_format.h
+++ b/src/adapters/metrics/text_format.h
@@ -17,8 +17,8 @@
 inline constexpr const char* kContentType = "text/plain; version=0.0.4";
 
 /// Appends what comes before the values of a metric. @return the metric's full name.
-std::string beginMetric(std::string& out, const std::string& name, const std::string& help,
-                        const std::string& type);
+std::string appendMetricHeader(std::string& out, const std::string& name, const std::string& help,
+                               const std::string& type);
 
 /// Appends one metric; `name` is without the program's prefix.
 void exposeCounter(std::string& out, const std::string& name, const std::string& help,
--- a/src/adapters/rpc/calls_in_flight.cc
+++ b/src/adapters/rpc/calls_in_flight.cc
@@ -6,42 +6,42 @@
 
 bool CallsInFlight::begin(const std::shared_ptr<CallInFlight>& call) {
   // Destroyed after the lock is released.
-  Calls over;
+  Calls finished_calls;
   const std::lock_guard lock(mutex_);
-  over.swap(finished_);
-  if (ended_) {
+  finished_calls.swap(finished_);
+  if (shut_down_) {
     return false;
   }
   calls_.emplace(call.get(), call);
   return true;
 }
 
-void CallsInFlight::finished(const CallInFlight& call) {
+void CallsInFlight::markFinished(const CallInFlight& call) {
   const std::lock_guard lock(mutex_);
   const auto found = calls_.find(&call);
   finished_.push_back(std::move(found->second));
   calls_.erase(found);
-  // Under the lock: once it is released, `end` may return and this object be gone.
+  // Under the lock: once it is released, `shutdown` may return and this object be gone.
   all_finished_.notify_all();
 }
 
-void CallsInFlight::end() {
-  Calls under_way;
+void CallsInFlight::shutdown() {
+  Calls pending;
   {
     const std::lock_guard lock(mutex_);
-    ended_ = true;
+    shut_down_ = true;
     for (const auto& [address, call] : calls_) {
-      under_way.push_back(call);
+      pending.push_back(call);
     }
   }
   // Without the lock, which the callbacks take.
-  for (const std::shared_ptr<CallInFlight>& call : under_way) {
+  for (const std::shared_ptr<CallInFlight>& call : pending) {
     call->context.TryCancel();
   }
-  Calls over;
+  Calls finished_calls;
   std::unique_lock lock(mutex_);
   all_finished_.wait(lock, [this] { return calls_.empty(); });
-  over.swap(finished_);
+  finished_calls.swap(finished_);
 }
 
 } // namespace workshatch::rpc
--- a/src/adapters/rpc/calls_in_flight.h
+++ b/src/adapters/rpc/calls_in_flight.h
@@ -27,25 +27,26 @@
   Reply reply;
 };
 
-/// Keeps the calls of one client. After `end`, no callback runs any more, so that what callbacks
-/// use may be destroyed; and no call is destroyed by a thread of gRPC's, on which the end of a
-/// channel's last call aborts the process (gRPC 1.51). Safe for concurrent use.
+/// Keeps the calls of one client. After `shutdown`, no callback runs any more, so that what
+/// callbacks use may be destroyed; and no call is destroyed by a thread of gRPC's, on which the end
+/// of a channel's last call aborts the process (gRPC 1.51). Safe for concurrent use.
 class CallsInFlight {
 public:
   CallsInFlight() = default;
-  ~CallsInFlight() { end(); }
+  ~CallsInFlight() { shutdown(); }
   CallsInFlight(const CallsInFlight&) = delete;
   CallsInFlight& operator=(const CallsInFlight&) = delete;
 
-  /// @return whether the call may be made; not after `end`. Its callback then calls `finished`.
+  /// @return whether the call may be made; not after `shutdown`. Its callback then calls
+  /// `markFinished`.
   bool begin(const std::shared_ptr<CallInFlight>& call);
 
   /// The last thing that a callback does. The callback does not own the call.
-  void finished(const CallInFlight& call);
+  void markFinished(const CallInFlight& call);
 
   /// Cancels the calls under way and waits until the callback of each has run, which takes no
   /// answer of the other side. Not called from a callback.
-  void end();
+  void shutdown();
 
 private:
   using Calls = std::vector<std::shared_ptr<CallInFlight>>;
@@ -53,7 +54,7 @@
   std::mutex mutex_;
   std::condition_variable all_finished_;
   // All below is guarded by mutex_.
-  bool ended_ = false;
+  bool shut_down_ = false;
   std::map<const CallInFlight*, std::shared_ptr<CallInFlight>> calls_;
   /// Calls that are over; destroyed by the thread that begins the next one, or ends.
   Calls finished_;
--- a/src/adapters/rpc/channels.cc
+++ b/src/adapters/rpc/channels.cc
@@ -11,25 +11,25 @@
 namespace {
 
 constexpr const char* kKeyHeader = "authorization";
-constexpr int kFirstReconnectMs = 100;
-constexpr int kLongestReconnectMs = 500;
+constexpr int kInitialReconnectMs = 100;
+constexpr int kMaxReconnectMs = 500;
 /// A snapshot of the replicated state is one message.
-constexpr int kMostMessageBytes = 256 * 1024 * 1024;
+constexpr int kMaxMessageBytes = 256 * 1024 * 1024;
 
 } // namespace
 
 std::shared_ptr<grpc::Channel> makeChannel(const std::string& address) {
   grpc::ChannelArguments arguments;
-  arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kFirstReconnectMs);
-  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kFirstReconnectMs);
-  arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kLongestReconnectMs);
+  arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kInitialReconnectMs);
+  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kInitialReconnectMs);
+  arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectMs);
   arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-  arguments.SetMaxReceiveMessageSize(kMostMessageBytes);
-  arguments.SetMaxSendMessageSize(kMostMessageBytes);
+  arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
+  arguments.SetMaxSendMessageSize(kMaxMessageBytes);
   return grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments);
 }
 
-void prepare(grpc::ClientContext& context, const std::string& key, int64_t timeout_ms) {
+void setKeyAndDeadline(grpc::ClientContext& context, const std::string& key, int64_t timeout_ms) {
   context.AddMetadata(kKeyHeader, key);
   context.set_deadline(std::chrono::system_clock::now() + std::chrono::milliseconds(timeout_ms));
 }
--- a/src/adapters/rpc/channels.h
+++ b/src/adapters/rpc/channels.h
@@ -15,7 +15,7 @@
 std::shared_ptr<grpc::Channel> makeChannel(const std::string& address);
 
 /// Puts a deadline and a key into a call.
-void prepare(grpc::ClientContext& context, const std::string& key, int64_t timeout_ms);
+void setKeyAndDeadline(grpc::ClientContext& context, const std::string& key, int64_t timeout_ms);
 
 /// @return whether the call carries `key`; the comparison takes the same time for any key.
 bool hasKey(const grpc::ServerContextBase& context, const std::string& key);
--- a/src/adapters/rpc/control_client.cc
+++ b/src/adapters/rpc/control_client.cc
@@ -17,8 +17,8 @@
 namespace {
 
 /// A try that is not answered by then goes to the next replica.
-constexpr int64_t kTryTimeoutMs = 700;
-constexpr std::chrono::milliseconds kRetryPause{50};
+constexpr int64_t kAttemptTimeoutMs = 700;
+constexpr std::chrono::milliseconds kRetryDelay{50};
 
 /// Awaits one asynchronous call of gRPC on the caller's executor. Temporaries are named before each
 /// co_await, here and elsewhere: GCC 12 may destroy unnamed ones twice (GCC bug 99576).
@@ -47,10 +47,11 @@
 
 } // namespace
 
-ControlClient::ControlClient(std::vector<std::string> addresses, std::string key, AddressBook book)
+ControlClient::ControlClient(std::vector<std::string> addresses, std::string key,
+                             AddressOverrides overrides)
     : addresses_(std::move(addresses)), key_(std::move(key)) {
   for (const std::string& address : addresses_) {
-    stubs_.push_back(v1::Control::NewStub(makeChannel(book.connectTo(address))));
+    stubs_.push_back(v1::Control::NewStub(makeChannel(overrides.resolve(address))));
   }
 }
 
@@ -59,14 +60,14 @@
   return Target{.index = current_, .stub = stubs_[current_].get()};
 }
 
-void ControlClient::moveOn(size_t failed, const std::string& leader_address) {
+void ControlClient::selectNextReplica(size_t failed, const std::string& leader_address) {
   const std::lock_guard lock(mutex_);
   if (current_ != failed) {
     return;
   }
-  const auto named = std::find(addresses_.begin(), addresses_.end(), leader_address);
-  current_ = named != addresses_.end() ? static_cast<size_t>(named - addresses_.begin())
-                                       : (failed + 1) % addresses_.size();
+  const auto leader = std::find(addresses_.begin(), addresses_.end(), leader_address);
+  current_ = leader != addresses_.end() ? static_cast<size_t>(leader - addresses_.begin())
+                                        : (failed + 1) % addresses_.size();
 }
 
 template <typename Request, typename Reply, typename Method>
@@ -74,7 +75,7 @@
                                                    Method method) {
   auto call = std::make_shared<UnaryCall<Request, Reply>>();
   call->request = std::move(request);
-  prepare(call->context, key_, timeout_ms);
+  setKeyAndDeadline(call->context, key_, timeout_ms);
   const Target chosen = target();
   if (!calls_.begin(call)) {
     co_return Error{"this process ends"};
@@ -83,16 +84,16 @@
     (chosen.stub->async()->*method)(&call.context, &call.request, &call.reply,
                                     [this, &call, done](grpc::Status result) {
                                       done(std::move(result));
-                                      calls_.finished(call);
+                                      calls_.markFinished(call);
                                     });
   };
   const grpc::Status status = co_await awaitCall(start);
   if (!status.ok()) {
-    moveOn(chosen.index, "");
+    selectNextReplica(chosen.index, "");
     co_return Error{"control replica " + addresses_[chosen.index] + ": " + status.error_message()};
   }
   if (call->reply.not_leader()) {
-    moveOn(chosen.index, call->reply.leader_address());
+    selectNextReplica(chosen.index, call->reply.leader_address());
     co_return Error{"control replica " + addresses_[chosen.index] + " does not lead"};
   }
   Result<Reply> result(std::move(call->reply));
@@ -101,18 +102,18 @@
 
 template <typename Request, typename Method>
 asio::awaitable<Result<v1::LedgerReply>>
-ControlClient::persistently(Request request, int64_t timeout_ms, Method method) {
+ControlClient::callUntilAnswered(Request request, int64_t timeout_ms, Method method) {
   const int64_t deadline = nowMs() + timeout_ms;
-  asio::steady_timer pause(co_await asio::this_coro::executor);
+  asio::steady_timer retry_timer(co_await asio::this_coro::executor);
   while (true) {
-    const int64_t left = std::max<int64_t>(deadline - nowMs(), 1);
-    Result<v1::LedgerReply> result =
-        co_await once<Request, v1::LedgerReply>(request, std::min(left, kTryTimeoutMs), method);
+    const int64_t remaining_ms = std::max<int64_t>(deadline - nowMs(), 1);
+    Result<v1::LedgerReply> result = co_await once<Request, v1::LedgerReply>(
+        request, std::min(remaining_ms, kAttemptTimeoutMs), method);
     if (!isError(result) || nowMs() >= deadline) {
       co_return result;
     }
-    pause.expires_after(kRetryPause);
-    co_await pause.async_wait(asio::use_awaitable);
+    retry_timer.expires_after(kRetryDelay);
+    co_await retry_timer.async_wait(asio::use_awaitable);
   }
 }
 
@@ -145,7 +146,7 @@
                                                               int64_t timeout_ms) {
   const AsyncMethod<v1::LedgerBeginRequest, v1::LedgerReply> method =
       &v1::Control::Stub::async::LedgerBegin;
-  auto result = co_await persistently(std::move(request), timeout_ms, method);
+  auto result = co_await callUntilAnswered(std::move(request), timeout_ms, method);
   co_return result;
 }
 
@@ -153,7 +154,7 @@
                                                                int64_t timeout_ms) {
   const AsyncMethod<v1::LedgerFinishRequest, v1::LedgerReply> method =
       &v1::Control::Stub::async::LedgerFinish;
-  auto result = co_await persistently(std::move(request), timeout_ms, method);
+  auto result = co_await callUntilAnswered(std::move(request), timeout_ms, method);
   co_return result;
 }
 
@@ -161,7 +162,7 @@
                                                               int64_t timeout_ms) {
   const AsyncMethod<v1::LedgerAbortRequest, v1::LedgerReply> method =
       &v1::Control::Stub::async::LedgerAbort;
-  auto result = co_await persistently(std::move(request), timeout_ms, method);
+  auto result = co_await callUntilAnswered(std::move(request), timeout_ms, method);
   co_return result;
 }
 
--- a/src/adapters/rpc/control_client.h
+++ b/src/adapters/rpc/control_client.h
@@ -9,7 +9,7 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "adapters/address_book.h"
+#include "adapters/address_overrides.h"
 #include "adapters/rpc/calls_in_flight.h"
 #include "core/result.h"
 #include "workshatch/v1/control.grpc.pb.h"
@@ -21,7 +21,7 @@
 /// event loops, to which the answers of calls are posted.
 class ControlClient {
 public:
-  ControlClient(std::vector<std::string> addresses, std::string key, AddressBook book);
+  ControlClient(std::vector<std::string> addresses, std::string key, AddressOverrides overrides);
 
   template <typename T> using awaitable = boost::asio::awaitable<T>;
 
@@ -43,13 +43,13 @@
 
   Target target();
   /// Chooses whom to ask next, when `failed` did not answer as the leader.
-  void moveOn(size_t failed, const std::string& leader_address);
+  void selectNextReplica(size_t failed, const std::string& leader_address);
 
   template <typename Request, typename Reply, typename Method>
   awaitable<Result<Reply>> once(Request request, int64_t timeout_ms, Method method);
   template <typename Request, typename Method>
-  awaitable<Result<v1::LedgerReply>> persistently(Request request, int64_t timeout_ms,
-                                                  Method method);
+  awaitable<Result<v1::LedgerReply>> callUntilAnswered(Request request, int64_t timeout_ms,
+                                                       Method method);
 
   const std::vector<std::string> addresses_;
   const std::string key_;
--- a/src/adapters/rpc/operator_client.cc
+++ b/src/adapters/rpc/operator_client.cc
@@ -12,9 +12,9 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr std::chrono::milliseconds kRetryPause{100};
+constexpr std::chrono::milliseconds kRetryDelay{100};
 /// One try; above the time that an apply waits to be in force everywhere.
-constexpr int64_t kTryTimeoutMs = 8000;
+constexpr int64_t kAttemptTimeoutMs = 8000;
 
 } // namespace
 
@@ -31,17 +31,17 @@
                                    grpc::Status (v1::Operator::Stub::*method)(grpc::ClientContext*,
                                                                               const Request&,
                                                                               Reply*)) {
-  const auto until = Clock::now() + std::chrono::milliseconds(timeout_ms_);
-  std::string last = "no control address was given";
+  const auto deadline = Clock::now() + std::chrono::milliseconds(timeout_ms_);
+  std::string last_error = "no control address was given";
   size_t current = 0;
   while (!stubs_.empty()) {
-    const auto left =
-        std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now()).count();
-    if (left <= 0) {
+    const auto remaining_ms =
+        std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now()).count();
+    if (remaining_ms <= 0) {
       break;
     }
     grpc::ClientContext context;
-    prepare(context, token_, std::min<int64_t>(left, kTryTimeoutMs));
+    setKeyAndDeadline(context, token_, std::min<int64_t>(remaining_ms, kAttemptTimeoutMs));
     Reply reply;
     const grpc::Status status = (stubs_[current].get()->*method)(&context, request, &reply);
     if (status.error_code() == grpc::StatusCode::UNAUTHENTICATED) {
@@ -50,16 +50,17 @@
     if (status.ok() && !reply.not_leader()) {
       return reply;
     }
-    last = addresses_[current] + ": " + (status.ok() ? "does not lead" : status.error_message());
-    const auto named = std::find(addresses_.begin(), addresses_.end(), reply.leader_address());
-    if (status.ok() && named != addresses_.end()) {
-      current = static_cast<size_t>(named - addresses_.begin());
+    last_error =
+        addresses_[current] + ": " + (status.ok() ? "does not lead" : status.error_message());
+    const auto leader = std::find(addresses_.begin(), addresses_.end(), reply.leader_address());
+    if (status.ok() && leader != addresses_.end()) {
+      current = static_cast<size_t>(leader - addresses_.begin());
     } else {
       current = (current + 1) % stubs_.size();
-      std::this_thread::sleep_for(kRetryPause);
+      std::this_thread::sleep_for(kRetryDelay);
     }
   }
-  return Error{"no control leader answered in time (" + last + ")"};
+  return Error{"no control leader answered in time (" + last_error + ")"};
 }
 
 Result<v1::ApplyReply> OperatorClient::apply(const v1::ApplyRequest& request) {
--- a/src/adapters/rpc/replica_transport.cc
+++ b/src/adapters/rpc/replica_transport.cc
@@ -11,34 +11,34 @@
 constexpr int64_t kDeliverTimeoutMs = 1000;
 constexpr int64_t kHelloTimeoutMs = 1000;
 /// Calls to one replica that may be unanswered; a frozen replica must not pile up memory.
-constexpr int kMostOutstanding = 64;
+constexpr int kMaxOutstandingCalls = 64;
 
 } // namespace
 
 GrpcReplicaTransport::GrpcReplicaTransport(std::string own_address, std::string key,
-                                           AddressBook addresses)
-    : own_address_(std::move(own_address)), key_(std::move(key)), addresses_(std::move(addresses)) {
-}
+                                           AddressOverrides address_overrides)
+    : own_address_(std::move(own_address)), key_(std::move(key)),
+      address_overrides_(std::move(address_overrides)) {}
 
 GrpcReplicaTransport::Peer& GrpcReplicaTransport::peer(const std::string& address) {
   const std::lock_guard lock(mutex_);
   std::unique_ptr<Peer>& found = peers_[address];
   if (!found) {
     found = std::make_unique<Peer>();
-    found->stub = v1::ControlPeer::NewStub(makeChannel(addresses_.connectTo(address)));
+    found->stub = v1::ControlPeer::NewStub(makeChannel(address_overrides_.resolve(address)));
   }
   return *found;
 }
 
 void GrpcReplicaTransport::send(const std::string& address, v1::RaftMessage message) {
   Peer& target = peer(address);
-  if (target.outstanding.load() >= kMostOutstanding) {
+  if (target.outstanding.load() >= kMaxOutstandingCalls) {
     return;
   }
   auto call = std::make_shared<UnaryCall<v1::RaftBatch, v1::DeliverReply>>();
   call->request.set_sender_address(own_address_);
   *call->request.add_messages() = std::move(message);
-  prepare(call->context, key_, kDeliverTimeoutMs);
+  setKeyAndDeadline(call->context, key_, kDeliverTimeoutMs);
   if (!calls_.begin(call)) {
     return;
   }
@@ -46,16 +46,16 @@
   target.stub->async()->Deliver(&call->context, &call->request, &call->reply,
                                 [this, &target, &call = *call](const grpc::Status&) {
                                   --target.outstanding;
-                                  calls_.finished(call);
+                                  calls_.markFinished(call);
                                 });
 }
 
-void GrpcReplicaTransport::hello(const std::string& address, uint64_t own_id,
-                                 std::function<void(const v1::HelloReply&)> done) {
+void GrpcReplicaTransport::sendHello(const std::string& address, uint64_t own_id,
+                                     std::function<void(const v1::HelloReply&)> done) {
   auto call = std::make_shared<UnaryCall<v1::HelloRequest, v1::HelloReply>>();
   call->request.set_id(own_id);
   call->request.set_address(own_address_);
-  prepare(call->context, key_, kHelloTimeoutMs);
+  setKeyAndDeadline(call->context, key_, kHelloTimeoutMs);
   if (!calls_.begin(call)) {
     return;
   }
@@ -65,7 +65,7 @@
         if (status.ok()) {
           done(call.reply);
         }
-        calls_.finished(call);
+        calls_.markFinished(call);
       });
 }
 
--- a/src/adapters/rpc/replica_transport.h
+++ b/src/adapters/rpc/replica_transport.h
@@ -9,7 +9,7 @@
 #include <mutex>
 #include <string>
 
-#include "adapters/address_book.h"
+#include "adapters/address_overrides.h"
 #include "adapters/rpc/calls_in_flight.h"
 #include "ports/replica_transport.h"
 #include "workshatch/v1/control.grpc.pb.h"
@@ -17,19 +17,20 @@
 namespace workshatch::rpc {
 
 /// Safe for concurrent use. Messages to a replica that does not answer are dropped: Raft sends
-/// again what matters. No callback runs after `end`, nor after the transport is destroyed.
+/// again what matters. No callback runs after `shutdown`, nor after the transport is destroyed.
 class GrpcReplicaTransport : public ReplicaTransport {
 public:
-  GrpcReplicaTransport(std::string own_address, std::string key, AddressBook addresses);
+  GrpcReplicaTransport(std::string own_address, std::string key,
+                       AddressOverrides address_overrides);
 
   void send(const std::string& address, v1::RaftMessage message) override;
 
   /// Asks the replica at `address` who it is; `done` runs on a thread of gRPC's, on success only.
-  void hello(const std::string& address, uint64_t own_id,
-             std::function<void(const v1::HelloReply&)> done);
+  void sendHello(const std::string& address, uint64_t own_id,
+                 std::function<void(const v1::HelloReply&)> done);
 
   /// Cancels all calls and makes no more.
-  void end() { calls_.end(); }
+  void end() { calls_.shutdown(); }
 
 private:
   struct Peer {
@@ -42,7 +43,7 @@
 
   const std::string own_address_;
   const std::string key_;
-  const AddressBook addresses_;
+  const AddressOverrides address_overrides_;
   std::mutex mutex_;
   /// Guarded by mutex_.
   std::map<std::string, std::unique_ptr<Peer>> peers_;
--- a/src/adapters/settings/checked_json.cc
+++ b/src/adapters/settings/json_validation.cc
@@ -1,4 +1,4 @@
-#include "adapters/settings/checked_json.h"
+#include "adapters/settings/json_validation.h"
 
 #include <fstream>
 #include <sstream>
@@ -84,24 +84,24 @@
 }
 
 /// Name quoted at the end of valijson's message about an unknown member.
-std::string unknownMember(const std::string& description) {
+std::string quotedMemberName(const std::string& description) {
   const size_t last = description.rfind('\'');
   const size_t first = last == std::string::npos || last == 0 ? std::string::npos
                                                               : description.rfind('\'', last - 1);
   return first == std::string::npos ? "" : description.substr(first + 1, last - first - 1);
 }
 
-Fault faultOf(const json& root, const valijson::ValidationResults::Error& error,
-              const std::string& source) {
+ValidationError toValidationError(const json& root, const valijson::ValidationResults::Error& error,
+                                  const std::string& source) {
   constexpr std::string_view kUnknown = "Object contains a property that could not be validated";
   constexpr std::string_view kMissing = "Missing required property";
   std::vector<std::string> tokens = tokensOf(error.context);
-  Fault fault{.source = source, .pointer = "", .message = error.description};
+  ValidationError fault{.source = source, .pointer = "", .message = error.description};
   if (error.description.starts_with(kUnknown)) {
-    tokens.push_back(unknownMember(error.description));
+    tokens.push_back(quotedMemberName(error.description));
     fault.message = "unknown member";
   } else if (error.description.starts_with(kMissing)) {
-    tokens.push_back(unknownMember(error.description));
+    tokens.push_back(quotedMemberName(error.description));
     fault.message = "missing";
   }
   const json& schema = schemaAt(root, tokens);
@@ -117,32 +117,34 @@
 }
 
 /// Errors that only repeat that a member below is at fault.
-bool repeatsInner(const std::string& description) {
+bool isEnclosingError(const std::string& description) {
   return description.starts_with("Failed to validate against schema associated with") ||
          description.starts_with("Failed to validate item #");
 }
 
 } // namespace
 
-std::string describe(const Fault& fault) {
+std::string describe(const ValidationError& fault) {
   return fault.source + "#" + fault.pointer + ": " + fault.message;
 }
 
-CheckedJson readJson(const std::string& path) {
+JsonOrErrors readJson(const std::string& path) {
   std::ifstream in(path);
   if (!in) {
-    return Faults{Fault{.source = path, .pointer = "", .message = "cannot be read"}};
+    return ValidationErrors{
+        ValidationError{.source = path, .pointer = "", .message = "cannot be read"}};
   }
   std::ostringstream content;
   content << in.rdbuf();
   try {
     return json::parse(content.str());
   } catch (const json::parse_error& error) {
-    return Faults{Fault{.source = path, .pointer = "", .message = error.what()}};
+    return ValidationErrors{
+        ValidationError{.source = path, .pointer = "", .message = error.what()}};
   }
 }
 
-CheckedJson checkJson(json document, const char* schema_text, const std::string& source) {
+JsonOrErrors validateJson(json document, const char* schema_text, const std::string& source) {
   const json schema_json = json::parse(schema_text);
   valijson::Schema schema;
   valijson::SchemaParser parser;
@@ -155,14 +157,14 @@
     applyDefaults(schema_json, schema_json, document);
     return document;
   }
-  Faults faults;
+  ValidationErrors errors;
   valijson::ValidationResults::Error error;
   while (results.popError(error)) {
-    if (!repeatsInner(error.description)) {
-      faults.push_back(faultOf(schema_json, error, source));
+    if (!isEnclosingError(error.description)) {
+      errors.push_back(toValidationError(schema_json, error, source));
     }
   }
-  return faults;
+  return errors;
 }
 
 } // namespace workshatch::settings
--- a/src/adapters/settings/checked_json.h
+++ b/src/adapters/settings/json_validation.h
@@ -10,7 +10,7 @@
 
 namespace workshatch::settings {
 
-struct Fault {
+struct ValidationError {
   /// The file, or the name of another source.
   std::string source;
   /// JSON pointer of the member at fault; empty: the whole document.
@@ -20,15 +20,15 @@
 };
 
 /// One line for people: "source#pointer: message".
-std::string describe(const Fault& fault);
+std::string describe(const ValidationError& fault);
 
-using Faults = std::vector<Fault>;
-using CheckedJson = std::variant<nlohmann::json, Faults>;
+using ValidationErrors = std::vector<ValidationError>;
+using JsonOrErrors = std::variant<nlohmann::json, ValidationErrors>;
 
 /// Reads and parses a file.
-CheckedJson readJson(const std::string& path);
+JsonOrErrors readJson(const std::string& path);
 
 /// Checks `document` against a schema and fills in the schema's defaults.
-CheckedJson checkJson(nlohmann::json document, const char* schema, const std::string& source);
+JsonOrErrors validateJson(nlohmann::json document, const char* schema, const std::string& source);
 
 } // namespace workshatch::settings
--- a/src/adapters/settings/relay_settings.cc
+++ b/src/adapters/settings/relay_settings.cc
@@ -18,54 +18,53 @@
 
 using nlohmann::json;
 
-constexpr double kMostMs = 3'600'000;
-constexpr double kMostPort = 65'535;
+constexpr double kMaxMs = 3'600'000;
+constexpr double kMaxPort = 65'535;
 constexpr double kMillisecondsPerSecond = 1000;
 
 /// Takes fields out of a JSON object and collects what is wrong with them.
 class FieldReader {
 public:
-  FieldReader(const json& object, std::string path, SettingsFaults& faults)
-      : object_(object), path_(std::move(path)), faults_(faults) {}
+  FieldReader(const json& object, std::string path, SettingsErrors& errors)
+      : object_(object), path_(std::move(path)), errors_(errors) {}
 
   void text(const char* name, std::string& value, bool required) {
     const json* field = find(name, required);
     if (field != nullptr && !field->is_string()) {
-      fault(name, "must be text");
+      addError(name, "must be text");
     } else if (field != nullptr) {
       value = field->get<std::string>();
     }
     if (required && field != nullptr && value.empty()) {
-      fault(name, "must not be empty");
+      addError(name, "must not be empty");
     }
   }
 
   void address(const char* name, std::string& value, bool required) {
     text(name, value, required);
     if (!value.empty() && !http::parseEndpoint(value)) {
-      fault(name, "must be \"ip:port\", not \"" + value + "\"");
+      addError(name, "must be \"ip:port\", not \"" + value + "\"");
     }
   }
 
   void flag(const char* name, bool& value) {
     const json* field = find(name, false);
     if (field != nullptr && !field->is_boolean()) {
-      fault(name, "must be true or false");
+      addError(name, "must be true or false");
     } else if (field != nullptr) {
       value = field->get<bool>();
     }
   }
 
-  template <typename Number>
-  void number(const char* name, Number& value, double least, double most) {
+  template <typename Number> void number(const char* name, Number& value, double min, double max) {
     const json* field = find(name, false);
     if (field == nullptr) {
       return;
     }
-    if (!field->is_number() || field->get<double>() < least || field->get<double>() > most) {
+    if (!field->is_number() || field->get<double>() < min || field->get<double>() > max) {
       std::ostringstream message;
-      message << "must be a number from " << least << " to " << most;
-      fault(name, message.str());
+      message << "must be a number from " << min << " to " << max;
+      addError(name, message.str());
       return;
     }
     value = static_cast<Number>(field->get<double>());
@@ -77,12 +76,12 @@
       return;
     }
     if (!field->is_array()) {
-      fault(name, "must be a list of \"ip:port\"");
+      addError(name, "must be a list of \"ip:port\"");
       return;
     }
     for (const json& entry : *field) {
       if (!entry.is_string() || !http::parseEndpoint(entry.get<std::string>())) {
-        fault(name, "must be a list of \"ip:port\"");
+        addError(name, "must be a list of \"ip:port\"");
         return;
       }
       values.push_back(entry.get<std::string>());
@@ -99,7 +98,7 @@
         field->is_object() && std::all_of(field->begin(), field->end(),
                                           [](const json& entry) { return entry.is_string(); });
     if (!texts_only) {
-      fault(name, "must be an object of texts");
+      addError(name, "must be an object of texts");
       return;
     }
     values = field->get<std::map<std::string, std::string>>();
@@ -111,39 +110,39 @@
       return &*found;
     }
     if (required) {
-      fault(name, "is missing");
+      addError(name, "is missing");
     }
     return nullptr;
   }
 
   /// Names each field of the object that is not read later on.
-  void refuseUnknownBut(const std::vector<std::string>& known) {
+  void rejectUnknownFields(const std::vector<std::string>& known) {
     for (const auto& [name, value] : object_.items()) {
       if (std::find(known.begin(), known.end(), name) == known.end()) {
-        fault(name.c_str(), "is not known");
+        addError(name.c_str(), "is not known");
       }
     }
   }
 
-  void fault(const char* name, const std::string& message) {
-    faults_.push_back(path_ + name + ": " + message);
+  void addError(const char* name, const std::string& message) {
+    errors_.push_back(path_ + name + ": " + message);
   }
 
 private:
   const json& object_;
   const std::string path_;
-  SettingsFaults& faults_;
+  SettingsErrors& errors_;
 };
 
 void readBounds(FieldReader reader, RelayBounds& bounds) {
-  reader.number("revoked_key_ms", bounds.revoked_key_ms, 1, kMostMs);
-  reader.number("leaving_runner_ms", bounds.leaving_runner_ms, 1, kMostMs);
+  reader.number("revoked_key_ms", bounds.revoked_key_ms, 1, kMaxMs);
+  reader.number("leaving_runner_ms", bounds.leaving_runner_ms, 1, kMaxMs);
   double stop_s = static_cast<double>(bounds.stop_ms) / kMillisecondsPerSecond;
-  reader.number("stop_s", stop_s, 0.1, kMostMs);
+  reader.number("stop_s", stop_s, 0.1, kMaxMs);
   bounds.stop_ms = static_cast<int64_t>(stop_s * kMillisecondsPerSecond);
   reader.number("repeat_ratio", bounds.repeat_ratio, 0, 1);
   double window_s = static_cast<double>(bounds.repeat_window_ms) / kMillisecondsPerSecond;
-  reader.number("repeat_window_s", window_s, 0.1, kMostMs);
+  reader.number("repeat_window_s", window_s, 0.1, kMaxMs);
   bounds.repeat_window_ms = static_cast<int64_t>(window_s * kMillisecondsPerSecond);
   reader.number("repeat_slack", bounds.repeat_slack, 0, std::numeric_limits<uint32_t>::max());
   reader.number("load_cap_factor", bounds.load_cap_factor, 1, 1000);
@@ -189,12 +188,12 @@
     known.emplace_back(entry.name);
     reader.flag(entry.name, policy.*entry.flag);
   }
-  reader.refuseUnknownBut(known);
+  reader.rejectUnknownFields(known);
 }
 
 } // namespace
 
-std::vector<std::string> RelaySettings::seedLinks() const {
+std::vector<std::string> RelaySettings::seedLinkAddresses() const {
   std::vector<std::string> links;
   for (const std::string& seed : seeds) {
     links.push_back(withPort(seed, link_port));
@@ -202,15 +201,15 @@
   return links;
 }
 
-std::variant<RelaySettings, SettingsFaults> parseRelaySettings(const std::string& text) {
-  SettingsFaults faults;
+std::variant<RelaySettings, SettingsErrors> parseRelaySettings(const std::string& text) {
+  SettingsErrors errors;
   const json document = json::parse(text, nullptr, false);
   if (!document.is_object()) {
-    faults.emplace_back("the settings are not a JSON object");
-    return faults;
+    errors.emplace_back("the settings are not a JSON object");
+    return errors;
   }
   RelaySettings settings;
-  FieldReader reader(document, "", faults);
+  FieldReader reader(document, "", errors);
   reader.text("name", settings.name, true);
   reader.text("zone", settings.zone, true);
   std::map<std::string, std::string> zones;
@@ -222,9 +221,9 @@
   reader.address("resolve_address", settings.resolve_address, false);
   reader.address("operator_address", settings.operator_address, false);
   reader.address("metrics_address", settings.metrics_address, false);
-  reader.number("link_port", settings.link_port, 1, kMostPort);
+  reader.number("link_port", settings.link_port, 1, kMaxPort);
   if (settings.link_port == 0) {
-    reader.fault("link_port", "is missing");
+    reader.addError("link_port", "is missing");
   }
   reader.addresses("seeds", settings.seeds);
   reader.flag("first_start", settings.first_start);
@@ -239,26 +238,26 @@
   reader.number("replica_losses", settings.replica_losses, 0, 100);
   const json* bounds = reader.find("bounds", false);
   if (bounds != nullptr && bounds->is_object()) {
-    readBounds(FieldReader(*bounds, "bounds.", faults), settings.bounds);
+    readBounds(FieldReader(*bounds, "bounds.", errors), settings.bounds);
   } else if (bounds != nullptr) {
-    reader.fault("bounds", "must be an object");
+    reader.addError("bounds", "must be an object");
   }
   const json* policy = reader.find("policy", false);
   if (policy != nullptr && policy->is_object()) {
-    readPolicy(FieldReader(*policy, "policy.", faults), settings.policy);
+    readPolicy(FieldReader(*policy, "policy.", errors), settings.policy);
   } else if (policy != nullptr) {
-    reader.fault("policy", "must be an object");
+    reader.addError("policy", "must be an object");
   }
-  if (!faults.empty()) {
-    return faults;
+  if (!errors.empty()) {
+    return errors;
   }
   return settings;
 }
 
-std::variant<RelaySettings, SettingsFaults> loadRelaySettings(const std::string& path) {
+std::variant<RelaySettings, SettingsErrors> loadRelaySettings(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    return SettingsFaults{path + ": cannot be read"};
+    return SettingsErrors{path + ": cannot be read"};
   }
   std::ostringstream text;
   text << file.rdbuf();
--- a/src/adapters/settings/relay_settings.h
+++ b/src/adapters/settings/relay_settings.h
@@ -63,16 +63,16 @@
   relay::Policy policy;
 
   /// Addresses for frames of the replicas that `seeds` names.
-  std::vector<std::string> seedLinks() const;
+  std::vector<std::string> seedLinkAddresses() const;
 };
 
 /// What is wrong with a settings file: one line a field.
-using SettingsFaults = std::vector<std::string>;
+using SettingsErrors = std::vector<std::string>;
 
 /// Reads and checks a settings file; names all faults at once. Unknown fields are ignored.
-std::variant<RelaySettings, SettingsFaults> loadRelaySettings(const std::string& path);
+std::variant<RelaySettings, SettingsErrors> loadRelaySettings(const std::string& path);
 
 /// As `loadRelaySettings`, from text.
-std::variant<RelaySettings, SettingsFaults> parseRelaySettings(const std::string& text);
+std::variant<RelaySettings, SettingsErrors> parseRelaySettings(const std::string& text);
 
 } // namespace workshatch::settings
--- a/src/adapters/settings/settings_file.h
+++ b/src/adapters/settings/settings_file.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <variant>
 
-#include "adapters/settings/checked_json.h"
+#include "adapters/settings/json_validation.h"
 #include "workshatch/v1/configuration.pb.h"
 #include "workshatch/v1/settings.pb.h"
 
@@ -13,12 +13,13 @@
 
 /// Reads and checks a settings file; names all faults at once. A file that other users may read is
 /// at fault, since it holds keys.
-std::variant<v1::Settings, Faults> loadSettings(const std::string& path);
+std::variant<v1::Settings, ValidationErrors> loadSettings(const std::string& path);
 
 /// Reads and checks all `*.json` files of a folder and joins them to one configuration.
-std::variant<v1::Configuration, Faults> loadDeclarations(const std::string& folder);
+std::variant<v1::Configuration, ValidationErrors> loadDeclarations(const std::string& folder);
 
-/// Faults that no schema can state: names that are not declared, factors out of order.
-Faults checkConfiguration(const v1::Configuration& configuration, const std::string& source);
+/// ValidationErrors that no schema can state: names that are not declared, factors out of order.
+ValidationErrors checkConfiguration(const v1::Configuration& configuration,
+                                    const std::string& source);
 
 } // namespace workshatch::settings
--- a/src/adapters/tcp_options.cc
+++ b/src/adapters/tcp_options.cc
@@ -10,7 +10,7 @@
 
 constexpr int kProbeIdleS = 1;
 constexpr int kProbeIntervalS = 1;
-constexpr int kProbes = 2;
+constexpr int kProbeCount = 2;
 
 void set(int handle, int level, int name, int value) {
   // An option that the system lacks leaves a slower detection; nothing else depends on it.
@@ -19,14 +19,14 @@
 
 } // namespace
 
-void setUp(boost::asio::ip::tcp::socket& socket, std::chrono::milliseconds silence) {
+void configure(boost::asio::ip::tcp::socket& socket, std::chrono::milliseconds peer_timeout) {
   const int handle = socket.native_handle();
   set(handle, IPPROTO_TCP, TCP_NODELAY, 1);
-  set(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(silence.count()));
+  set(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(peer_timeout.count()));
   set(handle, SOL_SOCKET, SO_KEEPALIVE, 1);
   set(handle, IPPROTO_TCP, TCP_KEEPIDLE, kProbeIdleS);
   set(handle, IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalS);
-  set(handle, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  set(handle, IPPROTO_TCP, TCP_KEEPCNT, kProbeCount);
 }
 
 } // namespace workshatch::tcp_options
--- a/src/adapters/tcp_options.h
+++ b/src/adapters/tcp_options.h
@@ -9,7 +9,7 @@
 namespace workshatch::tcp_options {
 
 /// Sends small writes at once and fails a connection whose other side has been silent for
-/// `silence`, although something was sent to it or a keep-alive probe was.
-void setUp(boost::asio::ip::tcp::socket& socket, std::chrono::milliseconds silence);
+/// `peer_timeout`, although something was sent to it or a keep-alive probe was.
+void configure(boost::asio::ip::tcp::socket& socket, std::chrono::milliseconds peer_timeout);
 
 } // namespace workshatch::tcp_options
--- a/src/adapters/worker_pool.h
+++ b/src/adapters/worker_pool.h
@@ -27,10 +27,10 @@
   size_t next() { return next_.fetch_add(1) % workers_.size(); }
 
   void start();
-  /// Runs the first worker on the calling thread, until `finish`; the pool has one worker.
-  void runHere() { workers_.front()->context.run(); }
-  /// Ends `runHere`.
-  void finish() { workers_.front()->context.stop(); }
+  /// Runs the first worker on the calling thread, until `requestStop`; the pool has one worker.
+  void runOnCallingThread() { workers_.front()->context.run(); }
+  /// Ends `runOnCallingThread`.
+  void requestStop() { workers_.front()->context.stop(); }
   /// Stops all workers and waits for their threads.
   void stop();
 
--- a/src/cli/log_commands.cc
+++ b/src/cli/log_commands.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::optional<std::vector<logging::LogLine>> readAll(const std::vector<std::string>& files) {
+std::optional<std::vector<logging::LogLine>> readLogFiles(const std::vector<std::string>& files) {
   std::vector<logging::LogLine> lines;
   if (files.empty()) {
     logging::readLogLines(std::cin, lines);
@@ -29,9 +29,9 @@
 }
 
 /// @param name heading of the items' names
-int printInForce(const char* name, const std::vector<logging::InForceReport>& reports) {
+int printInForce(const char* name, const std::vector<logging::RestrictionReport>& reports) {
   std::printf("%-28s %10s  %-34s %s\n", "process", "version", name, "since_ms");
-  for (const logging::InForceReport& report : reports) {
+  for (const logging::RestrictionReport& report : reports) {
     const auto version = static_cast<unsigned long long>(report.version);
     if (report.items.empty()) {
       std::printf("%-28s %10llu  %s\n", report.process.c_str(), version, "none");
@@ -47,7 +47,7 @@
 } // namespace
 
 int runTrace(const std::string& request, const std::vector<std::string>& files) {
-  const auto lines = readAll(files);
+  const auto lines = readLogFiles(files);
   if (!lines) {
     return kExitUsage;
   }
@@ -63,7 +63,7 @@
 }
 
 int runOutcomes(const std::vector<std::string>& files) {
-  const auto lines = readAll(files);
+  const auto lines = readLogFiles(files);
   if (!lines) {
     return kExitUsage;
   }
@@ -77,13 +77,13 @@
 }
 
 int runEvacuations(const std::vector<std::string>& files) {
-  const auto lines = readAll(files);
-  return lines ? printInForce("zone", logging::evacuationsOf(*lines)) : kExitUsage;
+  const auto lines = readLogFiles(files);
+  return lines ? printInForce("zone", logging::latestEvacuations(*lines)) : kExitUsage;
 }
 
 int runQuarantine(const std::vector<std::string>& files) {
-  const auto lines = readAll(files);
-  return lines ? printInForce("identity", logging::quarantineOf(*lines)) : kExitUsage;
+  const auto lines = readLogFiles(files);
+  return lines ? printInForce("identity", logging::latestQuarantine(*lines)) : kExitUsage;
 }
 
 } // namespace workshatch::cli
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -12,7 +12,7 @@
 #include <google/protobuf/util/message_differencer.h>
 #include <nlohmann/json.hpp>
 
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 #include "adapters/program.h"
 #include "adapters/rpc/operator_client.h"
 #include "adapters/settings/settings_file.h"
@@ -54,26 +54,26 @@
     "  evacuations [FILE...]  which zones are evacuated, since when, by the logs\n"
     "  quarantine [FILE...]  which requests are in quarantine, since when, by the logs";
 
-constexpr std::chrono::milliseconds kReplacePause{100};
+constexpr std::chrono::milliseconds kReplacePollInterval{100};
 
-int usage(const std::string& message) {
+int usageError(const std::string& message) {
   std::fprintf(stderr, "workshatch: %s\n", message.c_str());
   return kExitUsage;
 }
 
-int printFaults(const settings::Faults& faults) {
-  for (const settings::Fault& fault : faults) {
+int printFaults(const settings::ValidationErrors& faults) {
+  for (const settings::ValidationError& fault : faults) {
     std::fprintf(stderr, "%s\n", settings::describe(fault).c_str());
   }
   return kExitUsage;
 }
 
-int fail(const Error& error) {
+int reportError(const Error& error) {
   std::fprintf(stderr, "workshatch: %s\n", error.message.c_str());
   return kExitUnavailable;
 }
 
-std::string jsonOf(const google::protobuf::Message& message) {
+std::string toJson(const google::protobuf::Message& message) {
   google::protobuf::util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
   options.add_whitespace = true;
@@ -115,7 +115,7 @@
 
 int printApplyReply(const v1::ApplyReply& reply) {
   if (FLAGS_output == "json") {
-    std::printf("%s\n", jsonOf(reply).c_str());
+    std::printf("%s\n", toJson(reply).c_str());
   }
   const bool text = FLAGS_output != "json";
   const auto revision = static_cast<unsigned long long>(reply.revision());
@@ -149,7 +149,7 @@
 
 int runCheck(const std::string& folder) {
   const auto loaded = settings::loadDeclarations(folder);
-  if (const auto* faults = std::get_if<settings::Faults>(&loaded)) {
+  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
     return printFaults(*faults);
   }
   std::printf("%s: no faults\n", folder.c_str());
@@ -158,7 +158,7 @@
 
 int runApply(const std::string& folder) {
   const auto loaded = settings::loadDeclarations(folder);
-  if (const auto* faults = std::get_if<settings::Faults>(&loaded)) {
+  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
     return printFaults(*faults);
   }
   rpc::OperatorClient client = makeClient();
@@ -170,22 +170,23 @@
   } else {
     const auto current = client.get();
     if (isError(current)) {
-      return fail(errorOf(current));
+      return reportError(errorOf(current));
     }
     request.set_expected_revision(std::get<v1::GetReply>(current).revision());
   }
   const auto reply = client.apply(request);
-  return isError(reply) ? fail(errorOf(reply)) : printApplyReply(std::get<v1::ApplyReply>(reply));
+  return isError(reply) ? reportError(errorOf(reply))
+                        : printApplyReply(std::get<v1::ApplyReply>(reply));
 }
 
 int runDiff(const std::string& folder) {
   const auto loaded = settings::loadDeclarations(folder);
-  if (const auto* faults = std::get_if<settings::Faults>(&loaded)) {
+  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
     return printFaults(*faults);
   }
   const auto current = makeClient().get();
   if (isError(current)) {
-    return fail(errorOf(current));
+    return reportError(errorOf(current));
   }
   std::string report;
   google::protobuf::util::MessageDifferencer differencer;
@@ -199,9 +200,9 @@
 int runGet() {
   const auto reply = makeClient().get();
   if (isError(reply)) {
-    return fail(errorOf(reply));
+    return reportError(errorOf(reply));
   }
-  std::printf("%s\n", jsonOf(std::get<v1::GetReply>(reply)).c_str());
+  std::printf("%s\n", toJson(std::get<v1::GetReply>(reply)).c_str());
   return kExitOk;
 }
 
@@ -235,10 +236,10 @@
 int runStatus() {
   const auto reply = makeClient().status();
   if (isError(reply)) {
-    return fail(errorOf(reply));
+    return reportError(errorOf(reply));
   }
   if (FLAGS_output == "json") {
-    std::printf("%s\n", jsonOf(std::get<v1::StatusReply>(reply)).c_str());
+    std::printf("%s\n", toJson(std::get<v1::StatusReply>(reply)).c_str());
   } else {
     printStatus(std::get<v1::StatusReply>(reply));
   }
@@ -247,13 +248,13 @@
 
 int runResolve() {
   if (FLAGS_router.empty() || FLAGS_service.empty()) {
-    return usage("resolve: expected --router and --service");
+    return usageError("resolve: expected --router and --service");
   }
   const auto body =
-      http::simpleGet(FLAGS_router, "/v1/endpoints?service=" + FLAGS_service +
-                                        "&session=" + FLAGS_session + "&tenant=" + FLAGS_tenant);
+      http::blockingGet(FLAGS_router, "/v1/endpoints?service=" + FLAGS_service +
+                                          "&session=" + FLAGS_session + "&tenant=" + FLAGS_tenant);
   if (isError(body)) {
-    return fail(errorOf(body));
+    return reportError(errorOf(body));
   }
   const std::string& text = std::get<std::string>(body);
   if (FLAGS_output == "json") {
@@ -274,24 +275,26 @@
   request.set_draining(!FLAGS_undo);
   request.set_request_id(requestId());
   const auto reply = makeClient().drainRunner(request);
-  return isError(reply) ? fail(errorOf(reply)) : printApplyReply(std::get<v1::ApplyReply>(reply));
+  return isError(reply) ? reportError(errorOf(reply))
+                        : printApplyReply(std::get<v1::ApplyReply>(reply));
 }
 
-int runReplace() {
+int runControlReplace() {
   if (FLAGS_old_id == 0 || FLAGS_new_id == 0 || FLAGS_new_address.empty()) {
-    return usage("control-replace: expected --old_id, --new_id and --new_address");
+    return usageError("control-replace: expected --old_id, --new_id and --new_address");
   }
   v1::ReplaceReplicaRequest request;
   request.set_old_id(FLAGS_old_id);
   request.set_new_id(FLAGS_new_id);
   request.set_new_address(FLAGS_new_address);
   rpc::OperatorClient client = makeClient();
-  const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(FLAGS_timeout_ms);
+  const auto deadline =
+      std::chrono::steady_clock::now() + std::chrono::milliseconds(FLAGS_timeout_ms);
   std::string progress;
-  while (std::chrono::steady_clock::now() < until) {
+  while (std::chrono::steady_clock::now() < deadline) {
     const auto reply = client.replaceReplica(request);
     if (isError(reply)) {
-      return fail(errorOf(reply));
+      return reportError(errorOf(reply));
     }
     const auto& step = std::get<v1::ReplaceReplicaReply>(reply);
     if (!step.error().empty()) {
@@ -305,7 +308,7 @@
     if (step.done()) {
       return kExitOk;
     }
-    std::this_thread::sleep_for(kReplacePause);
+    std::this_thread::sleep_for(kReplacePollInterval);
   }
   std::fprintf(stderr, "workshatch: not done in time; the same command goes on where it stopped\n");
   return kExitPending;
@@ -316,12 +319,12 @@
 int main(int argc, char** argv) {
   parseProgramFlags(&argc, &argv, kUsage, "cli/main.cc");
   if (argc < 2) {
-    return usage("expected a command; see --help");
+    return usageError("expected a command; see --help");
   }
   const std::string command = argv[1];
   const std::string argument = argc > 2 ? argv[2] : "";
   if (command == "trace" && argument.empty()) {
-    return usage("trace: expected a request's id; see --help");
+    return usageError("trace: expected a request's id; see --help");
   }
   if (command == "trace") {
     return cli::runTrace(argument, {argv + 3, argv + argc});
@@ -338,11 +341,11 @@
   const bool needs_argument =
       command == "check" || command == "apply" || command == "diff" || command == "drain";
   if (needs_argument && argument.empty()) {
-    return usage(command + ": expected an argument; see --help");
+    return usageError(command + ": expected an argument; see --help");
   }
   const bool needs_control = command != "check" && command != "resolve";
   if (needs_control && (FLAGS_control.empty() || FLAGS_token_file.empty())) {
-    return usage(command + ": expected --control and --token_file");
+    return usageError(command + ": expected --control and --token_file");
   }
   if (command == "check") {
     return runCheck(argument);
@@ -366,7 +369,7 @@
     return runDrain(argument);
   }
   if (command == "control-replace") {
-    return runReplace();
+    return runControlReplace();
   }
-  return usage("no command \"" + command + "\"; see --help");
+  return usageError("no command \"" + command + "\"; see --help");
 }
--- a/src/daemon/control/control_role.cc
+++ b/src/daemon/control/control_role.cc
@@ -37,7 +37,8 @@
 ControlRole::ControlRole(const v1::Settings& settings, WorkerPool& workers, const Clock& clock)
     : settings_(settings), workers_(workers), random_(SeededRandom::fromEntropy()),
       store_(settings.control().data_folder(), random_),
-      transport_(settings.control().rpc_address(), settings.control_key(), AddressBook(settings)),
+      transport_(settings.control().rpc_address(), settings.control_key(),
+                 AddressOverrides(settings)),
       replica_(optionsOf(settings), store_, clock, random_, transport_) {}
 
 // Answers to hellos are given to the replica, which is destroyed before the transport.
@@ -70,7 +71,7 @@
   while (replica_.ungrouped()) {
     for (const std::string& address : settings_.control_addresses()) {
       if (address != settings_.control().rpc_address()) {
-        transport_.hello(address, replica_.id(), [this, address](const v1::HelloReply& reply) {
+        transport_.sendHello(address, replica_.id(), [this, address](const v1::HelloReply& reply) {
           replica_.helloReplyReceived(address, reply);
         });
       }
--- a/src/daemon/group/group_role.cc
+++ b/src/daemon/group/group_role.cc
@@ -36,7 +36,7 @@
 GroupOptions groupOptions(const settings::RelaySettings& settings, const std::string& own) {
   GroupOptions options;
   options.own_address = own;
-  options.seeds = settings.seedLinks();
+  options.seeds = settings.seedLinkAddresses();
   options.first_start = settings.first_start;
   options.voters = std::max<size_t>(options.voters, 2 * size_t{settings.replica_losses} + 1);
   return options;
@@ -235,7 +235,7 @@
 }
 
 void GroupRole::reload(const settings::RelaySettings& settings) {
-  replica_.setSeeds(settings.seedLinks());
+  replica_.setSeeds(settings.seedLinkAddresses());
 }
 
 void GroupRole::stop(std::function<void()> stopped) {
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -26,8 +26,8 @@
     "workshatchd --config FILE | --check-config FILE\n"
     "Runs the roles that the settings turn on, until SIGTERM, which is a planned stop.";
 
-int printFaults(const settings::Faults& faults) {
-  for (const settings::Fault& fault : faults) {
+int printFaults(const settings::ValidationErrors& faults) {
+  for (const settings::ValidationError& fault : faults) {
     std::fprintf(stderr, "%s\n", settings::describe(fault).c_str());
   }
   return kExitUsage;
@@ -95,7 +95,7 @@
     return kExitUsage;
   }
   const auto loaded = settings::loadSettings(path);
-  if (const auto* faults = std::get_if<settings::Faults>(&loaded)) {
+  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
     return printFaults(*faults);
   }
   if (!FLAGS_check_config.empty()) {
--- a/src/daemon/relay/active_request.cc
+++ b/src/daemon/relay/active_request.cc
@@ -61,7 +61,7 @@
   const auto self = shared_from_this();
   state_.active_requests.insert(this);
   armDeadline();
-  exchange_.onHangUp([weak = weak_from_this()] {
+  exchange_.onDisconnect([weak = weak_from_this()] {
     if (const auto run = weak.lock()) {
       run->caller_left_ = true;
       run->end();
@@ -97,9 +97,9 @@
   slot_.release();
   returnUnusedTrial();
   deadline_.cancel();
-  exchange_.onHangUp(nullptr);
+  exchange_.onDisconnect(nullptr);
   co_await finish();
-  exchange_.onHeldChange(nullptr);
+  exchange_.onBufferedBytesChange(nullptr);
   state_.read_ahead.close(reader_);
 }
 
--- a/src/daemon/relay/active_request_answer.cc
+++ b/src/daemon/relay/active_request_answer.cc
@@ -149,9 +149,9 @@
   }
   exchange_.send(event.bytes);
   if (state_.read_ahead.isFull(exchange_.bufferedBytes())) {
-    co_return co_await exchange_.drained(state_.read_ahead.lowBytes());
+    co_return co_await exchange_.drainTo(state_.read_ahead.lowBytes());
   }
-  co_return exchange_.keepsUp();
+  co_return exchange_.isWritable();
 }
 
 /// Counts what is held for the caller from now on.
@@ -161,10 +161,10 @@
       run->abortSlowReader();
     }
   });
-  exchange_.onHeldChange([weak = weak_from_this()] {
+  exchange_.onBufferedBytesChange([weak = weak_from_this()] {
     if (const auto run = weak.lock()) {
       run->state_.read_ahead.update(run->reader_, run->exchange_.bufferedBytes(),
-                                    run->exchange_.takenBytes());
+                                    run->exchange_.writtenBytes());
     }
   });
 }
@@ -173,7 +173,7 @@
 void ActiveRequest::abortSlowReader() {
   line_log::write("reader_cut", {{"request", request_.id},
                                  {"held_bytes", exchange_.bufferedBytes()},
-                                 {"read_bytes", exchange_.takenBytes()},
+                                 {"read_bytes", exchange_.writtenBytes()},
                                  {"all_held_bytes", state_.read_ahead.bufferedBytes()},
                                  {"readers", state_.read_ahead.readers()}});
   reader_cut_ = true;
--- a/src/daemon/relay/active_request_attempt.cc
+++ b/src/daemon/relay/active_request_attempt.cc
@@ -74,7 +74,7 @@
 }
 
 http::awaitable<ActiveRequest::ConnectOutcome> ActiveRequest::connect(const relay::Runner& runner) {
-  connection_ = state_.connections.take(runner.entry.address());
+  connection_ = state_.connections.acquire(runner.entry.address());
   if (connection_) {
     co_return ConnectOutcome::Connected;
   }
@@ -136,7 +136,7 @@
 /// Keeps the connection for another request, or closes it.
 void ActiveRequest::releaseConnection(const relay::Runner& runner) {
   if (connection_ && connection_->reusable()) {
-    state_.connections.give(runner.entry.address(), connection_);
+    state_.connections.release(runner.entry.address(), connection_);
   } else if (connection_) {
     connection_->close();
   }
--- a/src/daemon/relay/active_request_outcome.cc
+++ b/src/daemon/relay/active_request_outcome.cc
@@ -57,7 +57,7 @@
   }
   if (caller_left_) {
     logOutcome("caller_left");
-    exchange_.breakOff();
+    exchange_.closeIncomplete();
     co_return;
   }
   if (reader_cut_) {
@@ -66,9 +66,9 @@
   }
   if (stream_started_) {
     // What came whole is the caller's, also when nothing follows.
-    co_await exchange_.drained(0);
+    co_await exchange_.drainTo(0);
     logOutcome(timed_out_ ? "stream_timed_out" : "stream_broken");
-    exchange_.breakOff();
+    exchange_.closeIncomplete();
     co_return;
   }
   if (failure_ && !timed_out_) {
--- a/src/daemon/relay/control_link.cc
+++ b/src/daemon/relay/control_link.cc
@@ -136,21 +136,23 @@
 
 void ControlLink::dial(const std::string& address) {
   dialing_ = true;
-  dialer_.dial(address, link::kDialLimit, [this, address](std::shared_ptr<link::FramedLink> link) {
-    dialing_ = false;
-    if (!link) {
-      dialNext();
-      return;
-    }
-    link_ = std::move(link);
-    link_address_ = address;
-    last_activity_ms_ = clock_.monotonicMs();
-    last_received_bytes_ = 0;
-    unconfirmed_ = 0;
-    first_on_link_ = true;
-    link_->start([this](const v1::Frame& frame) { onFrame(frame); }, [this] { drop("closed"); });
-    renew();
-  });
+  dialer_.dial(address, link::kDialTimeout,
+               [this, address](std::shared_ptr<link::FramedLink> link) {
+                 dialing_ = false;
+                 if (!link) {
+                   dialNext();
+                   return;
+                 }
+                 link_ = std::move(link);
+                 link_address_ = address;
+                 last_activity_ms_ = clock_.monotonicMs();
+                 last_received_bytes_ = 0;
+                 unconfirmed_ = 0;
+                 first_on_link_ = true;
+                 link_->start([this](const v1::Frame& frame) { onFrame(frame); },
+                              [this] { drop("closed"); });
+                 renew();
+               });
 }
 
 void ControlLink::drop(const char* reason) {
--- a/src/daemon/relay/relay_role.cc
+++ b/src/daemon/relay/relay_role.cc
@@ -55,7 +55,7 @@
       adapters_(adapters), random_(SeededRandom::fromEntropy()), incarnation_(random_.next()),
       state_(settings_, clock, adapters.dialect, randomFraction(random_)),
       control_(
-          context_, clock, settings_.seedLinks(),
+          context_, clock, settings_.seedLinkAddresses(),
           [this](bool first_on_link) { return makeRenewal(first_on_link); },
           [this](const v1::LeaseReply& reply) { onLeaseReply(reply); }),
       reader_(context_, clock_, settings_.runner_list_address, adapters.runner_lists),
@@ -142,7 +142,7 @@
 
 http::awaitable<void> RelayRole::handle(http::Exchange& exchange) {
   if (state_.stopping) {
-    exchange.closeAfter();
+    exchange.closeAfterResponse();
   }
   const int64_t received_ms = clock_.monotonicMs();
   const int64_t wait_ms = leaseWaitMs(exchange.request(), state_, received_ms);
@@ -275,7 +275,7 @@
 }
 
 void RelayRole::reload(const settings::RelaySettings& settings) {
-  control_.setSeeds(settings.seedLinks());
+  control_.setSeeds(settings.seedLinkAddresses());
 }
 
 void RelayRole::stop(std::function<void()> stopped) {
--- a/src/daemon/router/chat_request.cc
+++ b/src/daemon/router/chat_request.cc
@@ -13,16 +13,16 @@
 
 constexpr uint64_t kCharactersPerToken = 4;
 constexpr uint64_t kDefaultMaxTokens = 64;
-constexpr uint64_t kMostTokens = 1'000'000;
+constexpr uint64_t kMaxTokens = 1'000'000;
 /// Messages that name a conversation: the instructions and the first question.
-constexpr size_t kNamingMessages = 2;
-constexpr const char* kLastEventHeader = "Last-Event-ID";
+constexpr size_t kOpeningMessages = 2;
+constexpr const char* kLastEventIdHeader = "Last-Event-ID";
 
-BadRequest bad(const std::string& detail) { return BadRequest{.detail = detail}; }
+BadRequest badRequest(const std::string& detail) { return BadRequest{.detail = detail}; }
 
-std::variant<ChatRequest, BadRequest> readLastEvent(const http::Request& request,
-                                                    ChatRequest chat) {
-  const auto last_event = http::fieldOf(request, kLastEventHeader);
+std::variant<ChatRequest, BadRequest> parseLastEventId(const http::Request& request,
+                                                       ChatRequest chat) {
+  const auto last_event = http::fieldOf(request, kLastEventIdHeader);
   if (!last_event) {
     return chat;
   }
@@ -31,10 +31,11 @@
   const auto parsed =
       std::from_chars(number.data(), number.data() + number.size(), chat.events_received);
   if (parsed.ec != std::errc() || parsed.ptr != number.data() + number.size()) {
-    return bad("header Last-Event-ID: expected \"engine:number\" as in the events received");
+    return badRequest("header Last-Event-ID: expected \"engine:number\" as in the events received");
   }
   if (!http::fieldOf(request, "X-Request-Id")) {
-    return bad("header X-Request-Id: expected, with Last-Event-ID, the id of the first request");
+    return badRequest(
+        "header X-Request-Id: expected, with Last-Event-ID, the id of the first request");
   }
   chat.resume_engine = colon == std::string::npos ? "" : last_event->substr(0, colon);
   return chat;
@@ -46,42 +47,43 @@
   ChatRequest chat;
   chat.body = json::parse(request.body(), nullptr, false);
   if (!chat.body.is_object()) {
-    return bad("body: expected a JSON object");
+    return badRequest("body: expected a JSON object");
   }
   const auto model = chat.body.find("model");
   if (model == chat.body.end() || !model->is_string() || model->get<std::string>().empty()) {
-    return bad("/model: expected the name of a service, as a string");
+    return badRequest("/model: expected the name of a service, as a string");
   }
   const auto messages = chat.body.find("messages");
   if (messages == chat.body.end() || !messages->is_array() || messages->empty()) {
-    return bad("/messages: expected an array with at least one message");
+    return badRequest("/messages: expected an array with at least one message");
   }
   for (size_t i = 0; i < messages->size(); ++i) {
     const json& message = (*messages)[i];
-    const bool whole = message.is_object() && message.contains("role") &&
+    const bool valid = message.is_object() && message.contains("role") &&
                        message["role"].is_string() && message.contains("content") &&
                        message["content"].is_string();
-    if (!whole) {
-      return bad("/messages/" + std::to_string(i) + ": expected \"role\" and \"content\", strings");
+    if (!valid) {
+      return badRequest("/messages/" + std::to_string(i) +
+                        ": expected \"role\" and \"content\", strings");
     }
   }
   const auto stream = chat.body.find("stream");
   if (stream != chat.body.end() && !stream->is_boolean()) {
-    return bad("/stream: expected true or false");
+    return badRequest("/stream: expected true or false");
   }
   const auto max_tokens = chat.body.find("max_tokens");
   if (max_tokens != chat.body.end() &&
       (!max_tokens->is_number_unsigned() || max_tokens->get<uint64_t>() == 0 ||
-       max_tokens->get<uint64_t>() > kMostTokens)) {
-    return bad("/max_tokens: expected a whole number from 1 to 1000000");
+       max_tokens->get<uint64_t>() > kMaxTokens)) {
+    return badRequest("/max_tokens: expected a whole number from 1 to 1000000");
   }
   chat.stream = stream != chat.body.end() && stream->get<bool>();
   chat.session_name = sessionNameOf(request, chat.body);
-  return readLastEvent(request, std::move(chat));
+  return parseLastEventId(request, std::move(chat));
 }
 
-bool takesUpStream(const http::Request& request) {
-  return http::fieldOf(request, kLastEventHeader).has_value();
+bool resumesStream(const http::Request& request) {
+  return http::fieldOf(request, kLastEventIdHeader).has_value();
 }
 
 uint64_t tokenCost(const json& body) {
@@ -98,7 +100,7 @@
   }
   std::string opening;
   const json& messages = body.at("messages");
-  for (size_t i = 0; i < std::min(messages.size(), kNamingMessages); ++i) {
+  for (size_t i = 0; i < std::min(messages.size(), kOpeningMessages); ++i) {
     opening += messages[i].at("content").get_ref<const std::string&>() + "\n";
   }
   // The caller's text goes into a header of the request to the engine only as a fingerprint.
--- a/src/daemon/router/chat_request.h
+++ b/src/daemon/router/chat_request.h
@@ -18,7 +18,7 @@
 std::variant<ChatRequest, BadRequest> parseChatRequest(const http::Request& request);
 
 /// @return whether the request takes up a stream again that broke off: a router ran it before.
-bool takesUpStream(const http::Request& request);
+bool resumesStream(const http::Request& request);
 
 /// Load of a request in tokens: the prompt's estimate and the most tokens asked for.
 uint64_t tokenCost(const nlohmann::json& body);
--- a/src/daemon/router/chat_run.cc
+++ b/src/daemon/router/chat_run.cc
@@ -14,15 +14,15 @@
 namespace {
 
 /// Events held back while an earlier one is missing.
-constexpr size_t kMostEarlyEvents = 256;
-constexpr int kMostAttempts = 6;
+constexpr size_t kMaxOutOfOrderEvents = 256;
+constexpr int kMaxAttempts = 6;
 /// A stream that gives nothing for this long is taken up again elsewhere.
 constexpr std::chrono::milliseconds kStallTimeout{3000};
 constexpr std::chrono::milliseconds kConnectTimeout{500};
 constexpr std::chrono::milliseconds kBodyEndTimeout{20};
 constexpr uint32_t kRetryAfterMs = 1000;
 
-uint64_t numberOf(const std::string& text) {
+uint64_t parseEventNumber(const std::string& text) {
   uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -35,10 +35,11 @@
                  metrics::RouterStats& stats, const Clock& clock)
     : exchange_(exchange), context_(context), request_(std::move(request)), selector_(selector),
       tables_(tables), client_(client), stats_(stats), clock_(clock),
-      delivered_(request_.events_received) {}
+      last_delivered_(request_.events_received) {}
 
-http::awaitable<Selection> ChatRun::nextPlacement(const std::string& last_engine, Attempt last) {
-  if (last == Attempt::Resume && !last_engine.empty()) {
+http::awaitable<Selection> ChatRun::nextPlacement(const std::string& last_engine,
+                                                  AttemptResult last) {
+  if (last == AttemptResult::Resume && !last_engine.empty()) {
     Selection same = co_await selector_.selectEngine(context_, last_engine);
     if (std::holds_alternative<Placement>(same)) {
       co_return same;
@@ -49,10 +50,10 @@
 
 http::awaitable<void> ChatRun::run() {
   std::string engine = request_.resume_engine;
-  Attempt last = engine.empty() ? Attempt::TryAnother : Attempt::Resume;
+  AttemptResult last = engine.empty() ? AttemptResult::TryAnother : AttemptResult::Resume;
   std::map<std::string, int> resumes;
-  for (int tries = 0; tries < kMostAttempts; ++tries) {
-    if (exchange_.hungUp()) {
+  for (int attempts = 0; attempts < kMaxAttempts; ++attempts) {
+    if (exchange_.clientDisconnected()) {
       ++stats_.cancelled_total;
       co_return;
     }
@@ -62,35 +63,35 @@
                                             .code = refused->code,
                                             .detail = refused->detail,
                                             .retry_after_ms = refused->retry_after_ms};
-      co_await giveUp(std::move(problem));
+      co_await failRequest(std::move(problem));
       co_return;
     }
     const Placement placement = std::get<Placement>(std::move(selection));
     engine = placement.engine.engine;
-    stats_.retries_total += tries > 0 ? 1 : 0;
-    last = co_await attempt(placement);
+    stats_.retries_total += attempts > 0 ? 1 : 0;
+    last = co_await runAttempt(placement);
     selector_.release(placement);
-    if (last == Attempt::Done) {
-      tables_.runnerSucceeded(placement.engine.runner);
-      co_await finishAnswer(placement);
+    if (last == AttemptResult::Done) {
+      tables_.recordRunnerSuccess(placement.engine.runner);
+      co_await finishResponse(placement);
       co_return;
     }
-    if (last == Attempt::CallerGone) {
+    if (last == AttemptResult::CallerGone) {
       ++stats_.cancelled_total;
       co_await cancelOnRunner(placement);
       logOutcome(context_, engine, http::Execution::Unknown, 0);
       co_return;
     }
-    if (last == Attempt::Rejected) {
+    if (last == AttemptResult::Rejected) {
       co_return;
     }
-    if (last == Attempt::Resume) {
+    if (last == AttemptResult::Resume) {
       ++stats_.stream_resumes_total;
     }
-    if (last == Attempt::TryAnother || ++resumes[engine] > 1) {
-      tables_.runnerFailed(placement.engine.runner);
+    if (last == AttemptResult::TryAnother || ++resumes[engine] > 1) {
+      tables_.recordRunnerFailure(placement.engine.runner);
       failed_engines_.insert(engine);
-      last = Attempt::TryAnother;
+      last = AttemptResult::TryAnother;
     }
     if (clock_.monotonicMs() >= context_.deadline_ms) {
       break;
@@ -100,7 +101,7 @@
                                         .code = "no-answer",
                                         .detail = "no engine gave a whole answer in time",
                                         .retry_after_ms = kRetryAfterMs};
-  co_await giveUp(std::move(problem));
+  co_await failRequest(std::move(problem));
 }
 
 http::Request ChatRun::upstreamRequest(const Placement& placement) const {
@@ -113,8 +114,8 @@
   if (!request_.session_name.empty()) {
     http::setHeader(request, "X-Session-Id", request_.session_name);
   }
-  if (delivered_ > 0) {
-    http::setHeader(request, "Last-Event-ID", std::to_string(delivered_));
+  if (last_delivered_ > 0) {
+    http::setHeader(request, "Last-Event-ID", std::to_string(last_delivered_));
   }
   json body = request_.body;
   body["stream"] = true;
@@ -122,102 +123,104 @@
   return request;
 }
 
-http::awaitable<ChatRun::Attempt> ChatRun::attempt(const Placement& placement) {
+http::awaitable<ChatRun::AttemptResult> ChatRun::runAttempt(const Placement& placement) {
   http::CallOptions options;
   options.connect_timeout = kConnectTimeout;
   options.read_timeout = kStallTimeout;
   http::CallCancel cancel;
-  exchange_.onHangUp([&cancel] { cancel.cancel(); });
+  exchange_.onDisconnect([&cancel] { cancel.cancel(); });
   http::CallResult result =
       co_await client_.call(placement.engine.address, upstreamRequest(placement), options, &cancel);
-  exchange_.onHangUp(nullptr);
+  exchange_.onDisconnect(nullptr);
   if (const auto* error = std::get_if<http::CallError>(&result)) {
-    context_.sent = context_.sent || error->phase == http::CallPhase::Sent;
-    context_.passed_over.push_back(
-        PassedOver{.engine = placement.engine.engine, .reason = error->message});
-    if (exchange_.hungUp()) {
-      co_return Attempt::CallerGone;
+    context_.maybe_sent = context_.maybe_sent || error->phase == http::CallPhase::Sent;
+    context_.skipped_engines.push_back(
+        SkippedEngine{.engine = placement.engine.engine, .reason = error->message});
+    if (exchange_.clientDisconnected()) {
+      co_return AttemptResult::CallerGone;
     }
-    co_return error->phase == http::CallPhase::Sent ? Attempt::Resume : Attempt::TryAnother;
+    co_return error->phase == http::CallPhase::Sent ? AttemptResult::Resume
+                                                    : AttemptResult::TryAnother;
   }
-  http::ClientAnswer& answer = *std::get<std::unique_ptr<http::ClientAnswer>>(result);
-  tables_.noteBackoff(placement.engine.runner, answer);
+  http::ClientResponse& answer = *std::get<std::unique_ptr<http::ClientResponse>>(result);
+  tables_.recordBackoffRequest(placement.engine.runner, answer);
   if (answer.status() == http::Status::ok) {
-    context_.sent = true;
-    co_return co_await relay(answer, placement);
+    context_.maybe_sent = true;
+    co_return co_await relayEvents(answer, placement);
   }
   auto body = co_await answer.readAll(1U << 20U);
   const bool not_run = answer.header("X-Execution").value_or("") == "not-run";
   if (static_cast<unsigned>(answer.status()) >= 500 || !not_run) {
-    context_.sent = context_.sent || !not_run;
+    context_.maybe_sent = context_.maybe_sent || !not_run;
   }
   if (static_cast<unsigned>(answer.status()) >= 500) {
-    context_.passed_over.push_back(
-        PassedOver{.engine = placement.engine.engine,
-                   .reason = "answered " + std::to_string(static_cast<unsigned>(answer.status()))});
-    co_return Attempt::TryAnother;
+    context_.skipped_engines.push_back(SkippedEngine{
+        .engine = placement.engine.engine,
+        .reason = "answered " + std::to_string(static_cast<unsigned>(answer.status()))});
+    co_return AttemptResult::TryAnother;
   }
   http::Problem problem = http::Problem{.status = answer.status(),
                                         .code = "rejected",
                                         .detail = std::holds_alternative<std::string>(body)
                                                       ? std::get<std::string>(body)
                                                       : "the engine refused the request"};
-  co_await giveUp(std::move(problem));
-  co_return Attempt::Rejected;
+  co_await failRequest(std::move(problem));
+  co_return AttemptResult::Rejected;
 }
 
-http::awaitable<ChatRun::Attempt> ChatRun::relay(http::ClientAnswer& answer,
-                                                 const Placement& placement) {
-  exchange_.onHangUp([&answer] { answer.cancel(); });
+http::awaitable<ChatRun::AttemptResult> ChatRun::relayEvents(http::ClientResponse& answer,
+                                                             const Placement& placement) {
+  exchange_.onDisconnect([&answer] { answer.cancel(); });
   http::EventStreamParser parser;
-  early_.clear();
+  out_of_order_events_.clear();
   while (!complete_) {
-    auto part = co_await answer.read();
-    const auto* text = std::get_if<std::string>(&part);
-    if (exchange_.hungUp()) {
-      co_return Attempt::CallerGone;
+    auto chunk = co_await answer.read();
+    const auto* text = std::get_if<std::string>(&chunk);
+    if (exchange_.clientDisconnected()) {
+      co_return AttemptResult::CallerGone;
     }
     if (text == nullptr || text->empty()) {
       break;
     }
     parser.feed(*text);
     while (const auto event = parser.next()) {
-      if (!co_await takeEvent(*event, placement)) {
-        exchange_.onHangUp(nullptr);
-        co_return Attempt::CallerGone;
+      if (!co_await acceptEvent(*event, placement)) {
+        exchange_.onDisconnect(nullptr);
+        co_return AttemptResult::CallerGone;
       }
     }
   }
-  exchange_.onHangUp(nullptr);
+  exchange_.onDisconnect(nullptr);
   if (!complete_) {
-    co_return Attempt::Resume;
+    co_return AttemptResult::Resume;
   }
   // What follows the last event is the end of the body; with it the connection can be kept.
   answer.setReadTimeout(kBodyEndTimeout);
   co_await answer.read();
-  co_return Attempt::Done;
+  co_return AttemptResult::Done;
 }
 
-bool ChatRun::belongsHere(const json& event) const {
+bool ChatRun::belongsToRequest(const json& event) const {
   return event.is_object() && event.value("id", "") == context_.id;
 }
 
-void ChatRun::noteUsage(const json& event) {
+void ChatRun::recordUsage(const json& event) {
   if (event.contains("usage")) {
     usage_ = event.at("usage");
   }
 }
 
-http::awaitable<bool> ChatRun::takeEvent(const http::ServerSentEvent& event,
-                                         const Placement& placement) {
-  const uint64_t number = numberOf(event.id);
-  if (number <= delivered_ || early_.size() >= kMostEarlyEvents) {
+http::awaitable<bool> ChatRun::acceptEvent(const http::ServerSentEvent& event,
+                                           const Placement& placement) {
+  const uint64_t number = parseEventNumber(event.id);
+  if (number <= last_delivered_ || out_of_order_events_.size() >= kMaxOutOfOrderEvents) {
     co_return true;
   }
-  early_[number] = event.data;
-  while (!early_.empty() && early_.begin()->first == delivered_ + 1 && !complete_) {
-    const std::string data = early_.begin()->second;
-    early_.erase(early_.begin());
+  out_of_order_events_[number] = event.data;
+  while (!out_of_order_events_.empty() &&
+         out_of_order_events_.begin()->first == last_delivered_ + 1 && !complete_) {
+    const std::string data = out_of_order_events_.begin()->second;
+    out_of_order_events_.erase(out_of_order_events_.begin());
     if (!co_await deliver(data, placement)) {
       co_return false;
     }
@@ -229,36 +232,36 @@
   const bool last = data == http::kDoneData;
   if (!last) {
     const json event = json::parse(data, nullptr, false);
-    if (!belongsHere(event)) {
+    if (!belongsToRequest(event)) {
       // Another request's event does not take this one's place.
       co_return true;
     }
-    noteUsage(event);
+    recordUsage(event);
     const json choices = event.value("choices", json::array());
     if (!choices.empty() && choices[0].contains("delta")) {
-      text_ += choices[0]["delta"].value("content", "");
+      completion_text_ += choices[0]["delta"].value("content", "");
     }
   }
-  ++delivered_;
+  ++last_delivered_;
   complete_ = last;
   if (!request_.stream) {
     co_return true;
   }
-  if (!co_await startAnswer()) {
+  if (!co_await startResponse()) {
     co_return false;
   }
   http::ServerSentEvent out;
-  out.id = placement.engine.engine + ":" + std::to_string(delivered_);
+  out.id = placement.engine.engine + ":" + std::to_string(last_delivered_);
   out.data = data;
   const std::string text = http::formatEvent(out);
   co_return co_await exchange_.write(text);
 }
 
-http::awaitable<bool> ChatRun::startAnswer() {
-  if (started_) {
+http::awaitable<bool> ChatRun::startResponse() {
+  if (response_started_) {
     co_return true;
   }
-  started_ = true;
+  response_started_ = true;
   http::Response head(http::Status::ok, 11);
   head.set(http::Field::content_type, "text/event-stream");
   head.set(http::Field::cache_control, "no-store");
@@ -266,7 +269,7 @@
   co_return co_await exchange_.startStream(std::move(head));
 }
 
-http::awaitable<void> ChatRun::finishAnswer(const Placement& placement) {
+http::awaitable<void> ChatRun::finishResponse(const Placement& placement) {
   ++stats_.answers_completed_total;
   logOutcome(context_, placement.engine.engine, http::Execution::Completed, 200);
   if (request_.stream) {
@@ -278,7 +281,7 @@
       {"object", "chat.completion"},
       {"model", request_.body.value("model", "")},
       {"choices", json::array({{{"index", 0},
-                                {"message", {{"role", "assistant"}, {"content", text_}}},
+                                {"message", {{"role", "assistant"}, {"content", completion_text_}}},
                                 {"finish_reason", "stop"}}})},
       {"usage", usage_},
   };
@@ -288,12 +291,12 @@
   co_await exchange_.respond(std::move(response));
 }
 
-http::awaitable<void> ChatRun::giveUp(http::Problem problem) {
+http::awaitable<void> ChatRun::failRequest(http::Problem problem) {
   problem.request_id = context_.id;
-  problem.execution = context_.sent ? http::Execution::Unknown : http::Execution::NotRun;
-  ++(context_.sent ? stats_.answers_unknown_total : stats_.answers_not_run_total);
+  problem.execution = context_.maybe_sent ? http::Execution::Unknown : http::Execution::NotRun;
+  ++(context_.maybe_sent ? stats_.answers_unknown_total : stats_.answers_not_run_total);
   logOutcome(context_, "", problem.execution, static_cast<unsigned>(problem.status));
-  if (started_) {
+  if (response_started_) {
     // The caller sees a stream without its last event, and may take it up again elsewhere.
     exchange_.abort();
     co_return;
--- a/src/daemon/router/chat_run.h
+++ b/src/daemon/router/chat_run.h
@@ -41,7 +41,7 @@
   boost::asio::awaitable<void> run();
 
 private:
-  enum class Attempt {
+  enum class AttemptResult {
     Done,
     /// The runner cannot be reached or refuses work that it did not start.
     TryAnother,
@@ -52,18 +52,19 @@
     Rejected,
   };
 
-  http::awaitable<Attempt> attempt(const Placement& placement);
-  http::awaitable<Attempt> relay(http::ClientAnswer& answer, const Placement& placement);
-  http::awaitable<bool> takeEvent(const http::ServerSentEvent& event, const Placement& placement);
+  http::awaitable<AttemptResult> runAttempt(const Placement& placement);
+  http::awaitable<AttemptResult> relayEvents(http::ClientResponse& answer,
+                                             const Placement& placement);
+  http::awaitable<bool> acceptEvent(const http::ServerSentEvent& event, const Placement& placement);
   http::awaitable<bool> deliver(const std::string& data, const Placement& placement);
-  http::awaitable<bool> startAnswer();
-  http::awaitable<void> finishAnswer(const Placement& placement);
-  http::awaitable<void> giveUp(http::Problem problem);
+  http::awaitable<bool> startResponse();
+  http::awaitable<void> finishResponse(const Placement& placement);
+  http::awaitable<void> failRequest(http::Problem problem);
   http::awaitable<void> cancelOnRunner(const Placement& placement);
-  http::awaitable<Selection> nextPlacement(const std::string& last_engine, Attempt last);
+  http::awaitable<Selection> nextPlacement(const std::string& last_engine, AttemptResult last);
   http::Request upstreamRequest(const Placement& placement) const;
-  bool belongsHere(const nlohmann::json& event) const;
-  void noteUsage(const nlohmann::json& event);
+  bool belongsToRequest(const nlohmann::json& event) const;
+  void recordUsage(const nlohmann::json& event);
 
   http::Exchange& exchange_;
   RequestContext& context_;
@@ -75,12 +76,12 @@
   const Clock& clock_;
 
   /// Number of the last event delivered; events of a stream are numbered from one.
-  uint64_t delivered_ = 0;
+  uint64_t last_delivered_ = 0;
   /// Events that came before an earlier one.
-  std::map<uint64_t, std::string> early_;
-  bool started_ = false;
+  std::map<uint64_t, std::string> out_of_order_events_;
+  bool response_started_ = false;
   bool complete_ = false;
-  std::string text_;
+  std::string completion_text_;
   nlohmann::json usage_;
   std::set<std::string> failed_engines_;
 };
--- a/src/daemon/router/decision_log.cc
+++ b/src/daemon/router/decision_log.cc
@@ -24,9 +24,9 @@
 
 uint64_t logDecision(const RequestContext& context, const Decision& decision) {
   const uint64_t duration_us = microsSince(context.started);
-  nlohmann::json passed_over = nlohmann::json::array();
-  for (const PassedOver& candidate : context.passed_over) {
-    passed_over.push_back({{"engine", candidate.engine}, {"reason", candidate.reason}});
+  nlohmann::json skipped_engines = nlohmann::json::array();
+  for (const SkippedEngine& candidate : context.skipped_engines) {
+    skipped_engines.push_back({{"engine", candidate.engine}, {"reason", candidate.reason}});
   }
   logging::write(logging::Severity::Info, "routing_decision",
                  {{"request_id", context.id},
@@ -37,9 +37,9 @@
                   {"owner", decision.owner},
                   {"reason", decision.reason},
                   {"cost", context.cost},
-                  {"passed_over", std::move(passed_over)},
-                  {"revision", context.in_force.revision},
-                  {"view", context.in_force.view->number()},
+                  {"passed_over", std::move(skipped_engines)},
+                  {"revision", context.serving_snapshot.revision},
+                  {"view", context.serving_snapshot.view->number()},
                   {"duration_us", duration_us}});
   return duration_us;
 }
@@ -53,7 +53,7 @@
                   {"engine", engine},
                   {"execution", http::nameOf(execution)},
                   {"status", status},
-                  {"revision", context.in_force.revision},
+                  {"revision", context.serving_snapshot.revision},
                   {"duration_us", microsSince(context.started)}});
 }
 
--- a/src/daemon/router/engine_selector.cc
+++ b/src/daemon/router/engine_selector.cc
@@ -16,15 +16,15 @@
 namespace {
 
 /// Engines asked before the request waits in a queue.
-constexpr size_t kMostCandidates = 4;
+constexpr size_t kMaxCandidates = 4;
 /// How long a request waits for an engine with room.
-constexpr int64_t kMostQueueMs = 2000;
+constexpr int64_t kMaxQueueMs = 2000;
 /// While engines change owners, another pass is made after this pause, for at most so long.
-constexpr std::chrono::milliseconds kPassPause{100};
-constexpr int64_t kMostPassesMs = 4000;
-constexpr uint32_t kNoEngineRetryMs = 1000;
+constexpr std::chrono::milliseconds kPassInterval{100};
+constexpr int64_t kMaxSelectionMs = 4000;
+constexpr uint32_t kMinRetryAfterMs = 1000;
 
-std::string reasonOf(v1::PermitVerdict verdict) {
+std::string verdictText(v1::PermitVerdict verdict) {
   switch (verdict) {
   case v1::PERMIT_FULL:
     return "full";
@@ -43,7 +43,7 @@
   }
 }
 
-const char* whyUnusable(const routing::EngineInfo& engine) {
+const char* unusableReason(const routing::EngineInfo& engine) {
   if (engine.leaving) {
     return "leaving";
   }
@@ -53,15 +53,15 @@
   return engine.held_down ? "held down" : "failed";
 }
 
-PermitWish wishFor(const RequestContext& context, const routing::EngineInfo& engine) {
-  PermitWish wish;
-  wish.request_id = context.id;
-  wish.engine = engine;
-  wish.tenant = context.tenant;
-  wish.cost = context.cost;
-  wish.session = context.session;
-  wish.priority = context.priority;
-  return wish;
+PermitParameters parametersFor(const RequestContext& context, const routing::EngineInfo& engine) {
+  PermitParameters parameters;
+  parameters.request_id = context.id;
+  parameters.engine = engine;
+  parameters.tenant = context.tenant;
+  parameters.cost = context.cost;
+  parameters.session = context.session;
+  parameters.priority = context.priority;
+  return parameters;
 }
 
 } // namespace
@@ -75,8 +75,8 @@
   std::vector<routing::EngineInfo> usable;
   for (routing::EngineInfo& engine : tables_.engines(context.service)) {
     if (!engine.isUsable() || excluded.contains(engine.engine)) {
-      context.passed_over.push_back(
-          PassedOver{.engine = engine.engine, .reason = whyUnusable(engine)});
+      context.skipped_engines.push_back(
+          SkippedEngine{.engine = engine.engine, .reason = unusableReason(engine)});
       continue;
     }
     usable.push_back(std::move(engine));
@@ -87,13 +87,14 @@
       [](const routing::EngineInfo& info) -> const std::string& { return info.engine; });
 }
 
-Placement EngineSelector::chosen(const RequestContext& context, const routing::EngineInfo& engine,
-                                 const PermitAnswer& answer, const std::string& reason) {
+Placement EngineSelector::recordPlacement(const RequestContext& context,
+                                          const routing::EngineInfo& engine,
+                                          const PermitResult& result, const std::string& reason) {
   ++stats_.decisions_total;
   const uint64_t micros = logDecision(
-      context, Decision{.engine = engine.engine, .owner = answer.owner, .reason = reason});
+      context, Decision{.engine = engine.engine, .owner = result.owner, .reason = reason});
   stats_.decision_latency.record(micros);
-  return Placement{.engine = engine, .permit = answer.permit};
+  return Placement{.engine = engine, .permit = result.permit};
 }
 
 asio::awaitable<std::optional<Placement>>
@@ -105,76 +106,78 @@
   if (target == candidates.end()) {
     co_return std::nullopt;
   }
-  PermitWish wish = wishFor(context, *target);
-  wish.no_redirect = true;
-  const PermitAnswer answer = co_await permits_.acquire(wish);
-  if (answer.verdict != v1::PERMIT_GRANTED) {
-    context.passed_over.push_back(PassedOver{.engine = engine, .reason = reasonOf(answer.verdict)});
+  PermitParameters parameters = parametersFor(context, *target);
+  parameters.no_redirect = true;
+  const PermitResult result = co_await permits_.acquire(parameters);
+  if (result.verdict != v1::PERMIT_GRANTED) {
+    context.skipped_engines.push_back(
+        SkippedEngine{.engine = engine, .reason = verdictText(result.verdict)});
     co_return std::nullopt;
   }
   ++stats_.session_redirects_total;
-  co_return chosen(context, *target, answer, "holds the session's cache");
+  co_return recordPlacement(context, *target, result, "holds the session's cache");
 }
 
-asio::awaitable<EngineSelector::Pass>
+asio::awaitable<EngineSelector::PassResult>
 EngineSelector::tryCandidates(RequestContext& context,
                               std::vector<routing::EngineInfo> candidates) {
-  Pass pass;
+  PassResult pass;
   pass.all_full = true;
-  for (size_t i = 0; i < std::min(candidates.size(), kMostCandidates); ++i) {
+  for (size_t i = 0; i < std::min(candidates.size(), kMaxCandidates); ++i) {
     const routing::EngineInfo& engine = candidates[i];
-    PermitWish wish = wishFor(context, engine);
-    wish.no_redirect = i != 0;
-    PermitAnswer answer = co_await permits_.acquire(wish);
-    if (answer.verdict == v1::PERMIT_REDIRECT) {
-      pass.placement = co_await followRedirect(context, candidates, answer.redirect_engine);
+    PermitParameters parameters = parametersFor(context, engine);
+    parameters.no_redirect = i != 0;
+    PermitResult result = co_await permits_.acquire(parameters);
+    if (result.verdict == v1::PERMIT_REDIRECT) {
+      pass.placement = co_await followRedirect(context, candidates, result.redirect_engine);
       if (pass.placement) {
         co_return pass;
       }
-      wish.no_redirect = true;
-      answer = co_await permits_.acquire(wish);
+      parameters.no_redirect = true;
+      result = co_await permits_.acquire(parameters);
     }
-    if (answer.verdict == v1::PERMIT_GRANTED) {
-      pass.placement = chosen(context, engine, answer, i == 0 ? "first choice" : "next choice");
+    if (result.verdict == v1::PERMIT_GRANTED) {
+      pass.placement =
+          recordPlacement(context, engine, result, i == 0 ? "first choice" : "next choice");
       if (context.session != 0) {
         permits_.recordSessionMove(candidates.front(), context.session, engine.engine);
       }
       co_return pass;
     }
-    context.passed_over.push_back(
-        PassedOver{.engine = engine.engine, .reason = reasonOf(answer.verdict)});
-    pass.all_full = pass.all_full && answer.verdict == v1::PERMIT_FULL;
-    pass.retry_after_ms = std::max(pass.retry_after_ms, answer.retry_after_ms);
+    context.skipped_engines.push_back(
+        SkippedEngine{.engine = engine.engine, .reason = verdictText(result.verdict)});
+    pass.all_full = pass.all_full && result.verdict == v1::PERMIT_FULL;
+    pass.retry_after_ms = std::max(pass.retry_after_ms, result.retry_after_ms);
   }
   co_return pass;
 }
 
-asio::awaitable<EngineSelector::Pass>
+asio::awaitable<EngineSelector::PassResult>
 EngineSelector::waitInQueue(RequestContext& context, const routing::EngineInfo& engine) {
-  Pass pass;
+  PassResult pass;
   const int64_t left = context.deadline_ms - clock_.monotonicMs();
-  PermitWish wish = wishFor(context, engine);
-  wish.no_redirect = true;
-  wish.wait_ms = static_cast<uint32_t>(std::clamp<int64_t>(left, 1, kMostQueueMs));
-  const PermitAnswer answer = co_await permits_.acquire(wish);
-  if (answer.verdict == v1::PERMIT_GRANTED) {
-    pass.placement = chosen(context, engine, answer, "waited for its first choice");
+  PermitParameters parameters = parametersFor(context, engine);
+  parameters.no_redirect = true;
+  parameters.wait_ms = static_cast<uint32_t>(std::clamp<int64_t>(left, 1, kMaxQueueMs));
+  const PermitResult result = co_await permits_.acquire(parameters);
+  if (result.verdict == v1::PERMIT_GRANTED) {
+    pass.placement = recordPlacement(context, engine, result, "waited for its first choice");
     co_return pass;
   }
-  context.passed_over.push_back(
-      PassedOver{.engine = engine.engine, .reason = reasonOf(answer.verdict)});
-  pass.all_full = answer.verdict == v1::PERMIT_FULL || answer.verdict == v1::PERMIT_QUEUED;
-  pass.retry_after_ms = answer.retry_after_ms;
+  context.skipped_engines.push_back(
+      SkippedEngine{.engine = engine.engine, .reason = verdictText(result.verdict)});
+  pass.all_full = result.verdict == v1::PERMIT_FULL || result.verdict == v1::PERMIT_QUEUED;
+  pass.retry_after_ms = result.retry_after_ms;
   co_return pass;
 }
 
 asio::awaitable<Selection> EngineSelector::select(RequestContext& context,
                                                   const std::set<std::string>& excluded) {
-  const int64_t give_up_ms = std::min(context.deadline_ms, clock_.monotonicMs() + kMostPassesMs);
+  const int64_t give_up_ms = std::min(context.deadline_ms, clock_.monotonicMs() + kMaxSelectionMs);
   asio::steady_timer pause(co_await asio::this_coro::executor);
   while (true) {
     const std::vector<routing::EngineInfo> usable = candidates(context, excluded);
-    Pass pass;
+    PassResult pass;
     if (!usable.empty()) {
       pass = co_await tryCandidates(context, usable);
       if (!pass.placement && pass.all_full) {
@@ -190,11 +193,11 @@
       refused.code = none ? "no-engine" : pass.all_full ? "overloaded" : "no-owner";
       refused.detail = none ? "no engine of service \"" + context.service + "\" is in use"
                             : "no engine of service \"" + context.service + "\" has room";
-      refused.retry_after_ms = std::max(pass.retry_after_ms, kNoEngineRetryMs);
+      refused.retry_after_ms = std::max(pass.retry_after_ms, kMinRetryAfterMs);
       logDecision(context, Decision{.engine = "", .owner = "", .reason = refused.code});
       co_return refused;
     }
-    pause.expires_after(kPassPause);
+    pause.expires_after(kPassInterval);
     co_await pause.async_wait(asio::use_awaitable);
   }
 }
@@ -206,15 +209,15 @@
     co_return SelectionRefused{.code = "no-engine", .detail = "the engine is gone"};
   }
   if (info->backing_off) {
-    co_return SelectionRefused{.code = "overloaded", .detail = whyUnusable(*info)};
+    co_return SelectionRefused{.code = "overloaded", .detail = unusableReason(*info)};
   }
-  PermitWish wish = wishFor(context, *info);
-  wish.no_redirect = true;
-  const PermitAnswer answer = co_await permits_.acquire(wish);
-  if (answer.verdict != v1::PERMIT_GRANTED) {
-    co_return SelectionRefused{.code = "overloaded", .detail = reasonOf(answer.verdict)};
+  PermitParameters parameters = parametersFor(context, *info);
+  parameters.no_redirect = true;
+  const PermitResult result = co_await permits_.acquire(parameters);
+  if (result.verdict != v1::PERMIT_GRANTED) {
+    co_return SelectionRefused{.code = "overloaded", .detail = verdictText(result.verdict)};
   }
-  co_return chosen(context, *info, answer, "works on the request already");
+  co_return recordPlacement(context, *info, result, "works on the request already");
 }
 
 } // namespace workshatch::daemon
--- a/src/daemon/router/engine_selector.h
+++ b/src/daemon/router/engine_selector.h
@@ -48,7 +48,7 @@
 
 private:
   /// What one pass over the candidates came to.
-  struct Pass {
+  struct PassResult {
     std::optional<Placement> placement;
     bool all_full = false;
     uint32_t retry_after_ms = 0;
@@ -56,15 +56,15 @@
 
   std::vector<routing::EngineInfo> candidates(RequestContext& context,
                                               const std::set<std::string>& excluded) const;
-  boost::asio::awaitable<Pass> tryCandidates(RequestContext& context,
-                                             std::vector<routing::EngineInfo> candidates);
+  boost::asio::awaitable<PassResult> tryCandidates(RequestContext& context,
+                                                   std::vector<routing::EngineInfo> candidates);
   boost::asio::awaitable<std::optional<Placement>>
   followRedirect(RequestContext& context, const std::vector<routing::EngineInfo>& candidates,
                  const std::string& engine);
-  boost::asio::awaitable<Pass> waitInQueue(RequestContext& context,
-                                           const routing::EngineInfo& engine);
-  Placement chosen(const RequestContext& context, const routing::EngineInfo& engine,
-                   const PermitAnswer& answer, const std::string& reason);
+  boost::asio::awaitable<PassResult> waitInQueue(RequestContext& context,
+                                                 const routing::EngineInfo& engine);
+  Placement recordPlacement(const RequestContext& context, const routing::EngineInfo& engine,
+                            const PermitResult& result, const std::string& reason);
 
   RouterTables& tables_;
   PermitClient& permits_;
--- a/src/daemon/router/permit_client.cc
+++ b/src/daemon/router/permit_client.cc
@@ -18,11 +18,11 @@
 
 namespace {
 
-constexpr int kTries = 3;
+constexpr int kMaxAttempts = 3;
 /// A waiter asks again after this long, in case the owner's answer was lost.
-constexpr std::chrono::milliseconds kQueuedAskAgain{300};
+constexpr std::chrono::milliseconds kQueuedRetryInterval{300};
 /// Permits in one report datagram, so that it fits one MTU.
-constexpr size_t kReportedAtOnce = 8;
+constexpr size_t kMaxPermitsPerReport = 8;
 
 } // namespace
 
@@ -32,74 +32,74 @@
     : name_(std::move(name)), incarnation_(incarnation), tables_(tables), socket_(socket),
       clock_(clock), stats_(stats), timeout_ms_(timeout_ms) {}
 
-v1::PermitRequest PermitClient::requestFor(const PermitWish& wish) {
+v1::PermitRequest PermitClient::requestFor(const PermitParameters& parameters) {
   v1::PermitRequest request;
   request.mutable_permit()->set_router(name_);
   request.mutable_permit()->set_incarnation(incarnation_);
   request.mutable_permit()->set_sequence(++sequence_);
-  request.set_request_id(wish.request_id);
-  request.set_engine(wish.engine.engine);
-  request.set_service(wish.engine.service);
-  request.set_tenant(wish.tenant);
-  request.set_cost(wish.cost);
-  request.set_session(wish.session);
-  request.set_priority(wish.priority);
-  request.set_wait_ms(wish.wait_ms);
-  request.set_no_redirect(wish.no_redirect);
+  request.set_request_id(parameters.request_id);
+  request.set_engine(parameters.engine.engine);
+  request.set_service(parameters.engine.service);
+  request.set_tenant(parameters.tenant);
+  request.set_cost(parameters.cost);
+  request.set_session(parameters.session);
+  request.set_priority(parameters.priority);
+  request.set_wait_ms(parameters.wait_ms);
+  request.set_no_redirect(parameters.no_redirect);
   return request;
 }
 
-asio::awaitable<PermitAnswer> PermitClient::acquire(PermitWish wish) {
-  PermitAnswer answer;
-  const serving::ServingSnapshot in_force = tables_.snapshot();
+asio::awaitable<PermitResult> PermitClient::acquire(PermitParameters parameters) {
+  PermitResult result;
+  const serving::ServingSnapshot serving_snapshot = tables_.snapshot();
   const v1::RouterEntry* owner =
-      routing::ownerOf(*in_force.view, wish.engine.engine, wish.engine.zone);
+      routing::ownerOf(*serving_snapshot.view, parameters.engine.engine, parameters.engine.zone);
   if (owner == nullptr) {
-    answer.verdict = v1::PERMIT_NOT_OWNER;
-    co_return answer;
+    result.verdict = v1::PERMIT_NOT_OWNER;
+    co_return result;
   }
-  const v1::PermitRequest request = requestFor(wish);
+  const v1::PermitRequest request = requestFor(parameters);
   const bool local = owner->name() == name_;
   if (local && !tables_.mayServe()) {
     // Without a lease another router may own the engine by now.
-    answer.verdict = v1::PERMIT_NOT_OWNER;
-    co_return answer;
-  }
-  OwnPermit own;
-  *own.held.mutable_permit() = request.permit();
-  own.held.set_engine(wish.engine.engine);
-  own.held.set_service(wish.engine.service);
-  own.held.set_tenant(wish.tenant);
-  own.held.set_cost(wish.cost);
-  own.zone = wish.engine.zone;
+    result.verdict = v1::PERMIT_NOT_OWNER;
+    co_return result;
+  }
+  PermitRecord record;
+  *record.held_permit.mutable_permit() = request.permit();
+  record.held_permit.set_engine(parameters.engine.engine);
+  record.held_permit.set_service(parameters.engine.service);
+  record.held_permit.set_tenant(parameters.tenant);
+  record.held_permit.set_cost(parameters.cost);
+  record.zone = parameters.engine.zone;
   // Held from when it is asked for: a grant must not be released as unwanted.
-  tables_.hold(own);
-  const v1::PermitReply reply = co_await ask(request, owner->peer_address(), local);
-  answer.permit = request.permit();
-  answer.verdict = reply.verdict();
-  answer.redirect_engine = reply.redirect_engine();
-  answer.retry_after_ms = reply.retry_after_ms();
-  answer.owner = owner->name();
+  tables_.addHeldPermit(record);
+  const v1::PermitReply reply = co_await requestPermit(request, owner->peer_address(), local);
+  result.permit = request.permit();
+  result.verdict = reply.verdict();
+  result.redirect_engine = reply.redirect_engine();
+  result.retry_after_ms = reply.retry_after_ms();
+  result.owner = owner->name();
   if (reply.verdict() == v1::PERMIT_GRANTED) {
-    tables_.granted(request.permit());
+    tables_.markGranted(request.permit());
     ++(local ? stats_.permits_local_total : stats_.permits_remote_total);
-    co_return answer;
+    co_return result;
   }
-  const bool may_be_known =
+  const bool owner_may_hold_permit =
       reply.verdict() == v1::PERMIT_VERDICT_UNSPECIFIED || reply.verdict() == v1::PERMIT_QUEUED;
-  if (may_be_known) {
+  if (owner_may_hold_permit) {
     ++stats_.permit_timeouts_total;
     release(request.permit());
   } else {
-    tables_.letGo(request.permit());
+    tables_.removeHeldPermit(request.permit());
   }
   if (reply.verdict() == v1::PERMIT_FULL) {
     ++stats_.permit_full_total;
   }
-  co_return answer;
+  co_return result;
 }
 
-asio::awaitable<void> PermitClient::awaitReply(std::shared_ptr<Pending> pending,
+asio::awaitable<void> PermitClient::awaitReply(std::shared_ptr<PendingRequest> pending,
                                                std::chrono::milliseconds timeout) {
   if (!pending->answered) {
     pending->timer.expires_after(timeout);
@@ -107,18 +107,19 @@
   }
 }
 
-asio::awaitable<v1::PermitReply> PermitClient::ask(const v1::PermitRequest& request,
-                                                   const std::string& owner_address, bool local) {
-  const auto pending = std::make_shared<Pending>(co_await asio::this_coro::executor);
+asio::awaitable<v1::PermitReply> PermitClient::requestPermit(const v1::PermitRequest& request,
+                                                             const std::string& owner_address,
+                                                             bool local) {
+  const auto pending = std::make_shared<PendingRequest>(co_await asio::this_coro::executor);
   const uint64_t sequence = request.permit().sequence();
   {
     const std::lock_guard lock(mutex_);
-    pending_[sequence] = pending;
+    pending_requests_[sequence] = pending;
   }
   const int64_t queue_deadline = clock_.monotonicMs() + request.wait_ms();
   v1::PermitReply reply;
   bool queued = false;
-  for (int unanswered = 0; unanswered < kTries;) {
+  for (int unanswered = 0; unanswered < kMaxAttempts;) {
     pending->answered = false;
     if (local) {
       reply = tables_.withPermitTable([&](admission::PermitTable& permit_table) {
@@ -129,7 +130,7 @@
       *datagram.mutable_permit_request() = request;
       socket_.send(owner_address, std::move(datagram));
       const std::chrono::milliseconds timeout(timeout_ms_);
-      co_await awaitReply(pending, queued ? std::max(kQueuedAskAgain, timeout) : timeout);
+      co_await awaitReply(pending, queued ? std::max(kQueuedRetryInterval, timeout) : timeout);
       if (!pending->answered) {
         ++unanswered;
         continue;
@@ -142,28 +143,28 @@
     }
     queued = true;
     pending->answered = false;
-    co_await awaitReply(pending, kQueuedAskAgain);
+    co_await awaitReply(pending, kQueuedRetryInterval);
     if (pending->answered) {
       reply = pending->reply;
       if (reply.verdict() != v1::PERMIT_QUEUED) {
         break;
       }
     }
-    if (clock_.monotonicMs() > queue_deadline + kQueuedAskAgain.count()) {
+    if (clock_.monotonicMs() > queue_deadline + kQueuedRetryInterval.count()) {
       break;
     }
   }
   const std::lock_guard lock(mutex_);
-  pending_.erase(sequence);
+  pending_requests_.erase(sequence);
   co_return reply;
 }
 
-void PermitClient::answered(const v1::PermitReply& reply) {
-  std::shared_ptr<Pending> pending;
+void PermitClient::deliverReply(const v1::PermitReply& reply) {
+  std::shared_ptr<PendingRequest> pending;
   {
     const std::lock_guard lock(mutex_);
-    const auto found = pending_.find(reply.permit().sequence());
-    if (found != pending_.end()) {
+    const auto found = pending_requests_.find(reply.permit().sequence());
+    if (found != pending_requests_.end()) {
       pending = found->second;
     }
   }
@@ -177,28 +178,30 @@
 }
 
 void PermitClient::release(const v1::PermitId& permit) {
-  const std::optional<OwnPermit> own = tables_.letGo(permit);
-  if (!own) {
+  const std::optional<PermitRecord> record = tables_.removeHeldPermit(permit);
+  if (!record) {
     return;
   }
-  const PendingRelease release{.permit = permit, .engine = own->held.engine(), .zone = own->zone};
+  const PendingRelease release{
+      .permit = permit, .engine = record->held_permit.engine(), .zone = record->zone};
   {
     const std::lock_guard lock(mutex_);
-    releases_[permit.sequence()] = release;
+    pending_releases_[permit.sequence()] = release;
   }
   sendRelease(release);
 }
 
 void PermitClient::sendRelease(const PendingRelease& release) {
-  const serving::ServingSnapshot in_force = tables_.snapshot();
-  const v1::RouterEntry* owner = routing::ownerOf(*in_force.view, release.engine, release.zone);
+  const serving::ServingSnapshot serving_snapshot = tables_.snapshot();
+  const v1::RouterEntry* owner =
+      routing::ownerOf(*serving_snapshot.view, release.engine, release.zone);
   if (owner == nullptr || owner->name() == name_) {
     tables_.withPermitTable([&](admission::PermitTable& permit_table) {
       permit_table.release(release.permit, release.engine);
     });
-    deliverOwnerReplies();
+    sendDueReplies();
     const std::lock_guard lock(mutex_);
-    releases_.erase(release.permit.sequence());
+    pending_releases_.erase(release.permit.sequence());
     return;
   }
   v1::PeerDatagram datagram;
@@ -207,14 +210,15 @@
   socket_.send(owner->peer_address(), std::move(datagram));
 }
 
-void PermitClient::recordSessionMove(const routing::EngineInfo& first, uint64_t session,
+void PermitClient::recordSessionMove(const routing::EngineInfo& first_choice, uint64_t session,
                                      const std::string& engine) {
   v1::SessionMoved moved;
-  moved.set_service(first.service);
+  moved.set_service(first_choice.service);
   moved.set_session(session);
-  moved.set_engine(engine == first.engine ? "" : engine);
-  const serving::ServingSnapshot in_force = tables_.snapshot();
-  const v1::RouterEntry* owner = routing::ownerOf(*in_force.view, first.engine, first.zone);
+  moved.set_engine(engine == first_choice.engine ? "" : engine);
+  const serving::ServingSnapshot serving_snapshot = tables_.snapshot();
+  const v1::RouterEntry* owner =
+      routing::ownerOf(*serving_snapshot.view, first_choice.engine, first_choice.zone);
   if (owner == nullptr) {
     return;
   }
@@ -230,8 +234,8 @@
 }
 
 std::string PermitClient::addressOf(const std::string& router) const {
-  const serving::ServingSnapshot in_force = tables_.snapshot();
-  for (const v1::RouterEntry& entry : in_force.view->routers()) {
+  const serving::ServingSnapshot serving_snapshot = tables_.snapshot();
+  for (const v1::RouterEntry& entry : serving_snapshot.view->routers()) {
     if (entry.name() == router) {
       return entry.peer_address();
     }
@@ -241,7 +245,7 @@
 
 void PermitClient::sendReply(const std::string& router, const v1::PermitReply& reply) {
   if (router == name_) {
-    answered(reply);
+    deliverReply(reply);
     return;
   }
   const std::string address = addressOf(router);
@@ -259,11 +263,11 @@
     break;
   case v1::PeerDatagram::kPermitReply: {
     const v1::PermitReply& reply = datagram.permit_reply();
-    answered(reply);
-    const bool unwanted = reply.verdict() == v1::PERMIT_GRANTED &&
+    deliverReply(reply);
+    const bool not_held = reply.verdict() == v1::PERMIT_GRANTED &&
                           reply.permit().incarnation() == incarnation_ &&
-                          !tables_.holds(reply.permit());
-    if (unwanted) {
+                          !tables_.holdsPermit(reply.permit());
+    if (not_held) {
       v1::PeerDatagram release;
       *release.mutable_permit_release()->mutable_permit() = reply.permit();
       release.mutable_permit_release()->set_engine(reply.engine());
@@ -279,12 +283,12 @@
     v1::PeerDatagram ack;
     *ack.mutable_release_ack()->mutable_permit() = release.permit();
     socket_.send(addressOf(datagram.sender()), std::move(ack));
-    deliverOwnerReplies();
+    sendDueReplies();
     break;
   }
   case v1::PeerDatagram::kReleaseAck: {
     const std::lock_guard lock(mutex_);
-    releases_.erase(datagram.release_ack().permit().sequence());
+    pending_releases_.erase(datagram.release_ack().permit().sequence());
     break;
   }
   case v1::PeerDatagram::kSessionMoved:
@@ -293,11 +297,11 @@
     });
     break;
   case v1::PeerDatagram::kHeldPermits:
-    receiveHeld(datagram);
+    receiveHeldPermits(datagram);
     break;
   case v1::PeerDatagram::kHeldPermitsAck: {
     const std::lock_guard lock(mutex_);
-    reports_.erase(datagram.held_permits_ack().sequence());
+    pending_reports_.erase(datagram.held_permits_ack().sequence());
     break;
   }
   default:
@@ -324,10 +328,10 @@
                   {"verdict", v1::PermitVerdict_Name(reply.verdict())}});
 }
 
-void PermitClient::receiveHeld(const v1::PeerDatagram& datagram) {
+void PermitClient::receiveHeldPermits(const v1::PeerDatagram& datagram) {
   tables_.withPermitTable([&](admission::PermitTable& permit_table) {
-    for (const v1::HeldPermit& held : datagram.held_permits().permits()) {
-      permit_table.adoptPermit(held);
+    for (const v1::HeldPermit& held_permit : datagram.held_permits().permits()) {
+      permit_table.adoptPermit(held_permit);
     }
   });
   v1::PeerDatagram ack;
@@ -336,7 +340,7 @@
   socket_.send(addressOf(datagram.sender()), std::move(ack));
 }
 
-void PermitClient::deliverOwnerReplies() {
+void PermitClient::sendDueReplies() {
   if (!tables_.mayServe()) {
     return;
   }
@@ -350,11 +354,11 @@
 }
 
 void PermitClient::tick() {
-  deliverOwnerReplies();
+  sendDueReplies();
   std::vector<PendingRelease> unacknowledged;
   {
     const std::lock_guard lock(mutex_);
-    for (const auto& [sequence, release] : releases_) {
+    for (const auto& [sequence, release] : pending_releases_) {
       unacknowledged.push_back(release);
     }
   }
@@ -366,36 +370,37 @@
 
 void PermitClient::prepareReports(const v1::View& view) {
   std::map<std::string, std::vector<HeldReport>> by_owner;
-  for (const OwnPermit& own : tables_.heldPermits()) {
-    const v1::RouterEntry* owner = routing::ownerOf(view, own.held.engine(), own.zone);
-    if (owner == nullptr || !own.granted) {
+  for (const PermitRecord& record : tables_.heldPermits()) {
+    const v1::RouterEntry* owner = routing::ownerOf(view, record.held_permit.engine(), record.zone);
+    if (owner == nullptr || !record.granted) {
       // What is only asked for is asked for again; reported, it would count as load for good.
       continue;
     }
     if (owner->name() == name_) {
-      tables_.withPermitTable(
-          [&](admission::PermitTable& permit_table) { permit_table.adoptPermit(own.held); });
+      tables_.withPermitTable([&](admission::PermitTable& permit_table) {
+        permit_table.adoptPermit(record.held_permit);
+      });
       continue;
     }
     std::vector<HeldReport>& reports = by_owner[owner->name()];
-    if (reports.empty() || reports.back().permits.size() == kReportedAtOnce) {
+    if (reports.empty() || reports.back().permits.size() == kMaxPermitsPerReport) {
       reports.push_back(HeldReport{.address = owner->peer_address(), .permits = {}});
     }
-    reports.back().permits.push_back(own.held);
+    reports.back().permits.push_back(record.held_permit);
   }
   const std::lock_guard lock(mutex_);
   report_view_ = view.number();
-  reports_.clear();
+  pending_reports_.clear();
   for (auto& [owner, reports] : by_owner) {
     for (HeldReport& report : reports) {
-      reports_[++sequence_] = std::move(report);
+      pending_reports_[++sequence_] = std::move(report);
     }
   }
 }
 
 void PermitClient::reportHeldPermits() {
-  const serving::ServingSnapshot in_force = tables_.snapshot();
-  const uint64_t view = in_force.view->number();
+  const serving::ServingSnapshot serving_snapshot = tables_.snapshot();
+  const uint64_t view = serving_snapshot.view->number();
   if (tables_.reportedView() >= view) {
     return;
   }
@@ -405,12 +410,12 @@
     prepared = report_view_ == view;
   }
   if (!prepared) {
-    prepareReports(*in_force.view);
+    prepareReports(*serving_snapshot.view);
   }
   std::map<uint64_t, HeldReport> unacknowledged;
   {
     const std::lock_guard lock(mutex_);
-    unacknowledged = reports_;
+    unacknowledged = pending_reports_;
   }
   if (unacknowledged.empty()) {
     tables_.setReportedView(view);
@@ -420,9 +425,9 @@
     v1::PeerDatagram datagram;
     datagram.mutable_held_permits()->set_view(view);
     datagram.mutable_held_permits()->set_sequence(number);
-    for (const v1::HeldPermit& held : report.permits) {
-      if (tables_.holds(held.permit())) {
-        *datagram.mutable_held_permits()->add_permits() = held;
+    for (const v1::HeldPermit& held_permit : report.permits) {
+      if (tables_.holdsPermit(held_permit.permit())) {
+        *datagram.mutable_held_permits()->add_permits() = held_permit;
       }
     }
     socket_.send(report.address, std::move(datagram));
--- a/src/daemon/router/permit_client.h
+++ b/src/daemon/router/permit_client.h
@@ -18,7 +18,7 @@
 namespace workshatch::daemon {
 
 /// What a request needs a permit for.
-struct PermitWish {
+struct PermitParameters {
   /// Id of the caller's request.
   std::string request_id;
   routing::EngineInfo engine;
@@ -32,7 +32,7 @@
 };
 
 /// Answer of an owner, or that none came.
-struct PermitAnswer {
+struct PermitResult {
   v1::PermitId permit;
   v1::PermitVerdict verdict = v1::PERMIT_VERDICT_UNSPECIFIED;
   std::string redirect_engine;
@@ -50,10 +50,10 @@
                datagram::PeerSocket& socket, const Clock& clock, metrics::RouterStats& stats,
                uint32_t timeout_ms);
 
-  boost::asio::awaitable<PermitAnswer> acquire(PermitWish wish);
+  boost::asio::awaitable<PermitResult> acquire(PermitParameters parameters);
   void release(const v1::PermitId& permit);
   /// Tells the owner of the engine that the session ranks first where the session went.
-  void recordSessionMove(const routing::EngineInfo& first, uint64_t session,
+  void recordSessionMove(const routing::EngineInfo& first_choice, uint64_t session,
                          const std::string& engine);
 
   /// Handles a datagram of another router; runs on the socket's worker.
@@ -64,8 +64,9 @@
   void tick();
 
 private:
-  struct Pending {
-    explicit Pending(const boost::asio::any_io_executor& own) : executor(own), timer(own) {}
+  struct PendingRequest {
+    explicit PendingRequest(const boost::asio::any_io_executor& worker_executor)
+        : executor(worker_executor), timer(worker_executor) {}
     boost::asio::any_io_executor executor;
     boost::asio::steady_timer timer;
     /// Both belong to the executor.
@@ -84,17 +85,17 @@
     std::vector<v1::HeldPermit> permits;
   };
 
-  v1::PermitRequest requestFor(const PermitWish& wish);
-  boost::asio::awaitable<void> awaitReply(std::shared_ptr<Pending> pending,
+  v1::PermitRequest requestFor(const PermitParameters& parameters);
+  boost::asio::awaitable<void> awaitReply(std::shared_ptr<PendingRequest> pending,
                                           std::chrono::milliseconds timeout);
-  boost::asio::awaitable<v1::PermitReply> ask(const v1::PermitRequest& request,
-                                              const std::string& owner_address, bool local);
-  void answered(const v1::PermitReply& reply);
+  boost::asio::awaitable<v1::PermitReply>
+  requestPermit(const v1::PermitRequest& request, const std::string& owner_address, bool local);
+  void deliverReply(const v1::PermitReply& reply);
   void sendReply(const std::string& router, const v1::PermitReply& reply);
   void sendRelease(const PendingRelease& release);
   void receiveRequest(const v1::PeerDatagram& datagram);
-  void receiveHeld(const v1::PeerDatagram& datagram);
-  void deliverOwnerReplies();
+  void receiveHeldPermits(const v1::PeerDatagram& datagram);
+  void sendDueReplies();
   void reportHeldPermits();
   void prepareReports(const v1::View& view);
   std::string addressOf(const std::string& router) const;
@@ -110,11 +111,11 @@
 
   std::mutex mutex_;
   /// By permit sequence. Guarded by mutex_.
-  std::map<uint64_t, std::shared_ptr<Pending>> pending_;
+  std::map<uint64_t, std::shared_ptr<PendingRequest>> pending_requests_;
   /// Releases not acknowledged yet. Guarded by mutex_.
-  std::map<uint64_t, PendingRelease> releases_;
+  std::map<uint64_t, PendingRelease> pending_releases_;
   /// Reports under `report_view_` that are not acknowledged, by number. Guarded by mutex_.
-  std::map<uint64_t, HeldReport> reports_;
+  std::map<uint64_t, HeldReport> pending_reports_;
   uint64_t report_view_ = 0;
 };
 
--- a/src/daemon/router/request_context.h
+++ b/src/daemon/router/request_context.h
@@ -13,7 +13,7 @@
 namespace workshatch::daemon {
 
 /// An engine that was considered and not used.
-struct PassedOver {
+struct SkippedEngine {
   std::string engine;
   std::string reason;
 };
@@ -30,10 +30,10 @@
   int64_t started_ms = 0;
   int64_t deadline_ms = 0;
   std::chrono::steady_clock::time_point started;
-  serving::ServingSnapshot in_force;
-  std::vector<PassedOver> passed_over;
+  serving::ServingSnapshot serving_snapshot;
+  std::vector<SkippedEngine> skipped_engines;
   /// Whether a byte of the request may have reached a back end.
-  bool sent = false;
+  bool maybe_sent = false;
 };
 
 } // namespace workshatch::daemon
