--- a/src/daemon/router/request_handler.cc
+++ b/src/daemon/router/request_handler.cc
@@ -22,8 +22,8 @@
 constexpr uint32_t kRetryAfterMs = 1000;
 constexpr std::string_view kChatPath = "/v1/chat/completions";
 constexpr std::string_view kServicesPrefix = "/v1/services/";
-constexpr size_t kMostKeyBytes = 255;
-constexpr size_t kMostEndpoints = 16;
+constexpr size_t kMaxIdempotencyKeyBytes = 255;
+constexpr size_t kMaxEndpoints = 16;
 
 std::string newRequestId() {
   thread_local std::mt19937_64 engine{std::random_device{}()};
@@ -54,11 +54,12 @@
 
 /// @return whether the router was in a view that every router had in force; one that has just
 /// registered may not have its lease yet.
-bool isSettled(const serving::ServingSnapshot& in_force, const v1::RouterEntry& router) {
-  if (in_force.settled == nullptr) {
+bool isInSettledView(const serving::ServingSnapshot& serving_snapshot,
+                     const v1::RouterEntry& router) {
+  if (serving_snapshot.settled == nullptr) {
     return true;
   }
-  const auto& routers = in_force.settled->routers();
+  const auto& routers = serving_snapshot.settled->routers();
   return std::any_of(routers.begin(), routers.end(), [&](const v1::RouterEntry& settled) {
     return settled.name() == router.name() && settled.incarnation() == router.incarnation();
   });
@@ -71,9 +72,9 @@
 
 } // namespace
 
-RequestHandler::RequestHandler(Parts parts) : parts_(std::move(parts)) {
-  for (size_t i = 0; i < parts_.workers.size(); ++i) {
-    asio::io_context& worker = parts_.workers.context(i);
+RequestHandler::RequestHandler(Dependencies dependencies) : dependencies_(std::move(dependencies)) {
+  for (size_t i = 0; i < dependencies_.workers.size(); ++i) {
+    asio::io_context& worker = dependencies_.workers.context(i);
     clients_[&worker] = std::make_unique<http::Client>(worker);
   }
 }
@@ -83,7 +84,7 @@
   limiter_.configure(configuration);
 }
 
-http::Response RequestHandler::refuse(http::Status status, const std::string& reason) const {
+http::Response RequestHandler::makeRefusal(http::Status status, const std::string& reason) const {
   http::Problem problem;
   problem.status = status;
   problem.code =
@@ -95,9 +96,9 @@
 
 asio::awaitable<void> RequestHandler::handle(http::Exchange& exchange) {
   const std::string_view path = exchange.path();
-  const bool work = path == kChatPath || path.starts_with(kServicesPrefix);
+  const bool proxied = path == kChatPath || path.starts_with(kServicesPrefix);
   if (draining_) {
-    exchange.closeAfter();
+    exchange.closeAfterResponse();
   }
   const std::string_view allowed = allowedMethods(path);
   if (!allowed.empty() && !methodAllowed(allowed, exchange.request().method())) {
@@ -107,8 +108,8 @@
                       .detail = "allowed for this path: " + std::string(allowed)});
     refusal.set(http::Field::allow, std::string(allowed));
     co_await exchange.respond(std::move(refusal));
-  } else if (work) {
-    co_await serveWork(exchange);
+  } else if (proxied) {
+    co_await serveProxiedRequest(exchange);
   } else if (path == "/v1/endpoints") {
     co_await serveEndpoints(exchange);
   } else if (path == "/healthz") {
@@ -123,24 +124,26 @@
     http::Problem refusal = http::Problem{.status = http::Status::not_found,
                                           .code = "not-found",
                                           .detail = "no such path: " + std::string(path)};
-    co_await problem(exchange, context, std::move(refusal));
+    co_await sendProblem(exchange, context, std::move(refusal));
   }
 }
 
-asio::awaitable<void> RequestHandler::problem(http::Exchange& exchange,
-                                              const RequestContext& context,
-                                              http::Problem problem) {
+asio::awaitable<void> RequestHandler::sendProblem(http::Exchange& exchange,
+                                                  const RequestContext& context,
+                                                  http::Problem problem) {
   problem.request_id = context.id;
-  problem.execution = context.sent ? http::Execution::Unknown : http::Execution::NotRun;
-  ++(context.sent ? parts_.stats.answers_unknown_total : parts_.stats.answers_not_run_total);
+  problem.execution = context.maybe_sent ? http::Execution::Unknown : http::Execution::NotRun;
+  ++(context.maybe_sent ? dependencies_.stats.answers_unknown_total
+                        : dependencies_.stats.answers_not_run_total);
   logOutcome(context, "", problem.execution, static_cast<unsigned>(problem.status));
   http::Response response = http::makeProblem(problem);
   co_await exchange.respond(std::move(response));
 }
 
-bool RequestHandler::limit(const RequestContext& context, http::Problem& problem) {
+bool RequestHandler::admitTenant(const RequestContext& context, http::Problem& problem) {
   const std::lock_guard lock(limiter_mutex_);
-  const limits::LimitVerdict verdict = limiter_.admit(context.tenant, parts_.clock.monotonicMs());
+  const limits::LimitVerdict verdict =
+      limiter_.admit(context.tenant, dependencies_.clock.monotonicMs());
   switch (verdict) {
   case limits::LimitVerdict::Admitted:
     return true;
@@ -151,7 +154,7 @@
                                       "\" is not declared"};
     return false;
   default:
-    ++parts_.stats.limited_total;
+    ++dependencies_.stats.limited_total;
     problem = http::Problem{.status = http::Status::too_many_requests,
                             .code = "tenant-limit",
                             .detail = verdict == limits::LimitVerdict::TooManyInFlight
@@ -162,36 +165,36 @@
   }
 }
 
-asio::awaitable<void> RequestHandler::serveWork(http::Exchange& exchange) {
-  ++parts_.stats.requests_total;
+asio::awaitable<void> RequestHandler::serveProxiedRequest(http::Exchange& exchange) {
+  ++dependencies_.stats.requests_total;
   RequestContext context;
   context.started = std::chrono::steady_clock::now();
-  context.started_ms = parts_.clock.monotonicMs();
+  context.started_ms = dependencies_.clock.monotonicMs();
   context.id = http::fieldOf(exchange.request(), "X-Request-Id").value_or(newRequestId());
   // A caller that has events of the answer knows that the request ran, whatever is refused now.
-  context.sent = takesUpStream(exchange.request());
-  context.in_force = parts_.tables.snapshot();
-  if (!parts_.tables.mayServe()) {
-    ++parts_.stats.not_serving_total;
+  context.maybe_sent = resumesStream(exchange.request());
+  context.serving_snapshot = dependencies_.tables.snapshot();
+  if (!dependencies_.tables.mayServe()) {
+    ++dependencies_.stats.not_serving_total;
     http::Problem refusal =
         http::Problem{.status = http::Status::service_unavailable,
                       .code = "no-lease",
                       .detail = "this router has no serving lease; ask another address",
                       .retry_after_ms = kRetryAfterMs,
-                      .addresses = otherAddresses(*context.in_force.view)};
-    co_await problem(exchange, context, std::move(refusal));
+                      .addresses = otherRouterAddresses(*context.serving_snapshot.view)};
+    co_await sendProblem(exchange, context, std::move(refusal));
     co_return;
   }
   const auto tenant = http::fieldOf(exchange.request(), "X-Tenant");
   if (!tenant) {
     http::Problem refusal = badRequest("header X-Tenant: expected a tenant's name");
-    co_await problem(exchange, context, std::move(refusal));
+    co_await sendProblem(exchange, context, std::move(refusal));
     co_return;
   }
   context.tenant = *tenant;
   http::Problem limited;
-  if (!limit(context, limited)) {
-    co_await problem(exchange, context, std::move(limited));
+  if (!admitTenant(context, limited)) {
+    co_await sendProblem(exchange, context, std::move(limited));
     co_return;
   }
   if (exchange.path() == kChatPath) {
@@ -208,37 +211,39 @@
     http::Problem refusal = http::Problem{.status = http::Status::method_not_allowed,
                                           .code = "bad-request",
                                           .detail = "expected POST"};
-    co_await problem(exchange, context, std::move(refusal));
+    co_await sendProblem(exchange, context, std::move(refusal));
     co_return;
   }
   auto parsed = parseChatRequest(exchange.request());
   if (const auto* fault = std::get_if<BadRequest>(&parsed)) {
     http::Problem refusal = badRequest(fault->detail);
-    co_await problem(exchange, context, std::move(refusal));
+    co_await sendProblem(exchange, context, std::move(refusal));
     co_return;
   }
   ChatRequest& request = std::get<ChatRequest>(parsed);
   context.service = request.body.at("model").get<std::string>();
-  const v1::Service* service = findService(*context.in_force.configuration, context.service);
+  const v1::Service* service =
+      findService(*context.serving_snapshot.configuration, context.service);
   if (service == nullptr || service->kind() != "model") {
     http::Problem refusal =
         http::Problem{.status = http::Status::not_found,
                       .code = "unknown-service",
                       .detail = "/model: no model service \"" + context.service + "\" is declared"};
-    co_await problem(exchange, context, std::move(refusal));
+    co_await sendProblem(exchange, context, std::move(refusal));
     co_return;
   }
-  const v1::Route* route = findRoute(*context.in_force.configuration, context.service, kChatPath);
+  const v1::Route* route =
+      findRoute(*context.serving_snapshot.configuration, context.service, kChatPath);
   const uint32_t deadline_ms = route != nullptr && route->deadline_ms() != 0
                                    ? route->deadline_ms()
-                                   : parts_.settings.router().deadline_ms();
+                                   : dependencies_.settings.router().deadline_ms();
   context.deadline_ms = context.started_ms + deadline_ms;
   context.priority = route == nullptr ? 0 : route->priority();
   context.session = routing::fingerprintOf(context.tenant + "\n" + request.session_name);
   context.cost = service->load_unit() == "tokens" ? tokenCost(request.body) : 1;
   http::Client& client = clientOf((co_await asio::this_coro::executor).context());
-  ChatRun run(exchange, context, std::move(request), parts_.selector, parts_.tables, client,
-              parts_.stats, parts_.clock);
+  ChatRun run(exchange, context, std::move(request), dependencies_.selector, dependencies_.tables,
+              client, dependencies_.stats, dependencies_.clock);
   co_await run.run();
 }
 
@@ -247,13 +252,14 @@
   const std::string_view rest = exchange.target().substr(kServicesPrefix.size());
   const size_t name_end = std::min(rest.find_first_of("/?"), rest.size());
   context.service = rest.substr(0, name_end);
-  const v1::Service* service = findService(*context.in_force.configuration, context.service);
+  const v1::Service* service =
+      findService(*context.serving_snapshot.configuration, context.service);
   if (service == nullptr || service->kind() != "plain") {
     http::Problem refusal =
         http::Problem{.status = http::Status::not_found,
                       .code = "unknown-service",
                       .detail = "no plain service \"" + context.service + "\" is declared"};
-    co_await problem(exchange, context, std::move(refusal));
+    co_await sendProblem(exchange, context, std::move(refusal));
     co_return;
   }
   ServiceRequest request;
@@ -261,8 +267,8 @@
   if (!request.target.starts_with('/')) {
     request.target = "/" + request.target;
   }
-  const v1::Route* route =
-      findRoute(*context.in_force.configuration, context.service, http::pathOf(request.target));
+  const v1::Route* route = findRoute(*context.serving_snapshot.configuration, context.service,
+                                     http::pathOf(request.target));
   // Without a declaration that says otherwise, only methods that are safe to repeat are repeated.
   const bool safe_method = exchange.request().method() == http::Verb::get ||
                            exchange.request().method() == http::Verb::head;
@@ -270,31 +276,31 @@
   request.idempotency_key =
       http::fieldOf(exchange.request(), "Idempotency-Key").value_or(std::string());
   const bool key_fits =
-      !request.idempotency_key.empty() && request.idempotency_key.size() <= kMostKeyBytes;
+      !request.idempotency_key.empty() && request.idempotency_key.size() <= kMaxIdempotencyKeyBytes;
   if (!request.repeatable && !key_fits) {
     http::Problem refusal =
         badRequest("header Idempotency-Key: expected 1 to 255 characters, since the "
                    "route may not be repeated");
-    co_await problem(exchange, context, std::move(refusal));
+    co_await sendProblem(exchange, context, std::move(refusal));
     co_return;
   }
   const uint32_t deadline_ms = route != nullptr && route->deadline_ms() != 0
                                    ? route->deadline_ms()
-                                   : parts_.settings.router().deadline_ms();
+                                   : dependencies_.settings.router().deadline_ms();
   context.deadline_ms = context.started_ms + deadline_ms;
   context.priority = route == nullptr ? 0 : route->priority();
   http::Client& client = clientOf((co_await asio::this_coro::executor).context());
-  ServiceRun run(exchange, context, std::move(request), parts_.selector, parts_.tables, client,
-                 parts_.control, parts_.stats, parts_.clock, parts_.settings.name(),
-                 parts_.incarnation);
+  ServiceRun run(exchange, context, std::move(request), dependencies_.selector,
+                 dependencies_.tables, client, dependencies_.control, dependencies_.stats,
+                 dependencies_.clock, dependencies_.settings.name(), dependencies_.incarnation);
   co_await run.run();
 }
 
-std::vector<std::string> RequestHandler::otherAddresses(const v1::View& view) const {
+std::vector<std::string> RequestHandler::otherRouterAddresses(const v1::View& view) const {
   std::vector<std::string> addresses;
   for (const v1::RouterEntry& router : view.routers()) {
-    if (router.name() != parts_.settings.name() && router.state() == v1::ROUTER_ACTIVE &&
-        addresses.size() < kMostEndpoints) {
+    if (router.name() != dependencies_.settings.name() && router.state() == v1::ROUTER_ACTIVE &&
+        addresses.size() < kMaxEndpoints) {
       addresses.push_back(router.http_address());
     }
   }
@@ -302,7 +308,7 @@
 }
 
 asio::awaitable<void> RequestHandler::serveEndpoints(http::Exchange& exchange) {
-  const serving::ServingSnapshot in_force = parts_.tables.snapshot();
+  const serving::ServingSnapshot serving_snapshot = dependencies_.tables.snapshot();
   const std::string service =
       http::queryParameter(exchange.target(), "service").value_or(std::string());
   const std::string session =
@@ -313,14 +319,15 @@
                                        : routing::fingerprintOf(tenant + "\n" + session);
   // The owner of the engine that the session ranks first comes first, then its zone.
   std::string owner_name;
-  std::string zone = parts_.settings.zone();
+  std::string zone = dependencies_.settings.zone();
   uint64_t best_weight = 0;
-  for (const routing::EngineInfo& engine : parts_.tables.engines(service)) {
+  for (const routing::EngineInfo& engine : dependencies_.tables.engines(service)) {
     const uint64_t weight = routing::rendezvousWeight(key, engine.engine);
     if (!engine.isUsable() || weight < best_weight) {
       continue;
     }
-    const v1::RouterEntry* owner = routing::ownerOf(*in_force.view, engine.engine, engine.zone);
+    const v1::RouterEntry* owner =
+        routing::ownerOf(*serving_snapshot.view, engine.engine, engine.zone);
     if (owner != nullptr) {
       best_weight = weight;
       owner_name = owner->name();
@@ -328,38 +335,38 @@
     }
   }
   std::vector<const v1::RouterEntry*> routers;
-  for (const v1::RouterEntry& router : in_force.view->routers()) {
-    if (router.state() == v1::ROUTER_ACTIVE && isSettled(in_force, router)) {
+  for (const v1::RouterEntry& router : serving_snapshot.view->routers()) {
+    if (router.state() == v1::ROUTER_ACTIVE && isInSettledView(serving_snapshot, router)) {
       routers.push_back(&router);
     }
   }
-  const auto before = [&](const v1::RouterEntry* left, const v1::RouterEntry* right) {
-    const auto place = [&](const v1::RouterEntry* router) {
+  const auto precedes = [&](const v1::RouterEntry* left, const v1::RouterEntry* right) {
+    const auto sortKey = [&](const v1::RouterEntry* router) {
       return std::tuple(router->name() != owner_name, router->zone() != zone,
                         routing::rendezvousWeight(key, router->name()));
     };
-    return place(left) < place(right);
+    return sortKey(left) < sortKey(right);
   };
-  std::sort(routers.begin(), routers.end(), before);
+  std::sort(routers.begin(), routers.end(), precedes);
   nlohmann::json endpoints = nlohmann::json::array();
-  for (size_t i = 0; i < std::min(routers.size(), kMostEndpoints); ++i) {
+  for (size_t i = 0; i < std::min(routers.size(), kMaxEndpoints); ++i) {
     endpoints.push_back({{"address", routers[i]->http_address()}, {"zone", routers[i]->zone()}});
   }
   const nlohmann::json body = {{"endpoints", std::move(endpoints)},
-                               {"ttl_ms", parts_.settings.router().endpoints_ttl_ms()},
-                               {"view", in_force.view->number()}};
+                               {"ttl_ms", dependencies_.settings.router().endpoints_ttl_ms()},
+                               {"view", serving_snapshot.view->number()}};
   http::Response response = http::makeResponse(http::Status::ok, "application/json", body.dump());
   co_await exchange.respond(std::move(response));
 }
 
 asio::awaitable<void> RequestHandler::serveReady(http::Exchange& exchange) {
-  const bool ready = parts_.tables.mayServe() && !draining_;
-  const serving::ServingSnapshot in_force = parts_.tables.snapshot();
+  const bool ready = dependencies_.tables.mayServe() && !draining_;
+  const serving::ServingSnapshot serving_snapshot = dependencies_.tables.snapshot();
   const nlohmann::json body = {{"ready", ready},
                                {"draining", draining_.load()},
-                               {"revision", in_force.revision},
-                               {"view", in_force.view->number()},
-                               {"settled_view", in_force.settled_view}};
+                               {"revision", serving_snapshot.revision},
+                               {"view", serving_snapshot.view->number()},
+                               {"settled_view", serving_snapshot.settled_view}};
   http::Response response =
       http::makeResponse(ready ? http::Status::ok : http::Status::service_unavailable,
                          "application/json", body.dump());
@@ -367,21 +374,22 @@
 }
 
 asio::awaitable<void> RequestHandler::serveMetrics(http::Exchange& exchange) {
-  const serving::ServingSnapshot in_force = parts_.tables.snapshot();
+  const serving::ServingSnapshot serving_snapshot = dependencies_.tables.snapshot();
   struct OwnerGauges {
     size_t permits = 0;
     size_t waiting = 0;
   };
   const OwnerGauges gauges =
-      parts_.tables.withPermitTable([](admission::PermitTable& permit_table) {
+      dependencies_.tables.withPermitTable([](admission::PermitTable& permit_table) {
         return OwnerGauges{.permits = permit_table.permitCount(),
                            .waiting = permit_table.waitingCount()};
       });
-  std::string text = parts_.stats.expose() + parts_.other_metrics();
-  text += metrics::exposeGauge("revision", "revision in force", in_force.revision);
-  text += metrics::exposeGauge("view", "number of the view in force", in_force.view->number());
+  std::string text = dependencies_.stats.expose() + dependencies_.network_metrics();
+  text += metrics::exposeGauge("revision", "revision in force", serving_snapshot.revision);
+  text +=
+      metrics::exposeGauge("view", "number of the view in force", serving_snapshot.view->number());
   text += metrics::exposeGauge("serving", "1 while this router has a serving lease",
-                               parts_.tables.mayServe() ? 1 : 0);
+                               dependencies_.tables.mayServe() ? 1 : 0);
   text += metrics::exposeGauge("permits", "permits given out by this owner", gauges.permits);
   text += metrics::exposeGauge("waiting", "requests waiting at this owner", gauges.waiting);
   http::Response response =
--- a/src/daemon/router/request_handler.h
+++ b/src/daemon/router/request_handler.h
@@ -24,7 +24,7 @@
 /// Safe for concurrent use.
 class RequestHandler {
 public:
-  struct Parts {
+  struct Dependencies {
     const v1::Settings& settings;
     uint64_t incarnation;
     RouterTables& tables;
@@ -35,10 +35,10 @@
     const Clock& clock;
     WorkerPool& workers;
     /// Gauges and counters of other parts, in the text exposition format.
-    std::function<std::string()> other_metrics;
+    std::function<std::string()> network_metrics;
   };
 
-  explicit RequestHandler(Parts parts);
+  explicit RequestHandler(Dependencies dependencies);
 
   boost::asio::awaitable<void> handle(http::Exchange& exchange);
 
@@ -46,23 +46,23 @@
   void configure(const v1::Configuration& configuration);
   /// This router is not offered to callers any more.
   void setDraining() { draining_ = true; }
-  http::Response refuse(http::Status status, const std::string& reason) const;
+  http::Response makeRefusal(http::Status status, const std::string& reason) const;
 
 private:
-  http::awaitable<void> serveWork(http::Exchange& exchange);
+  http::awaitable<void> serveProxiedRequest(http::Exchange& exchange);
   http::awaitable<void> serveChat(http::Exchange& exchange, RequestContext& context);
   http::awaitable<void> serveService(http::Exchange& exchange, RequestContext& context);
   http::awaitable<void> serveEndpoints(http::Exchange& exchange);
   http::awaitable<void> serveMetrics(http::Exchange& exchange);
   http::awaitable<void> serveReady(http::Exchange& exchange);
-  http::awaitable<void> problem(http::Exchange& exchange, const RequestContext& context,
-                                http::Problem problem);
-  bool limit(const RequestContext& context, http::Problem& problem);
-  std::vector<std::string> otherAddresses(const v1::View& view) const;
+  http::awaitable<void> sendProblem(http::Exchange& exchange, const RequestContext& context,
+                                    http::Problem problem);
+  bool admitTenant(const RequestContext& context, http::Problem& problem);
+  std::vector<std::string> otherRouterAddresses(const v1::View& view) const;
   /// The client of the worker that the coroutine runs on.
   http::Client& clientOf(boost::asio::execution_context& worker) { return *clients_.at(&worker); }
 
-  Parts parts_;
+  Dependencies dependencies_;
   std::atomic<bool> draining_{false};
   /// One client a worker: its connections belong to the worker's thread. Never changed.
   std::map<const boost::asio::execution_context*, std::unique_ptr<http::Client>> clients_;
--- a/src/daemon/router/router_role.cc
+++ b/src/daemon/router/router_role.cc
@@ -21,18 +21,18 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickPeriod{20};
-constexpr std::chrono::milliseconds kRunnerPeriod{1000};
+constexpr std::chrono::milliseconds kRunnerPollPeriod{1000};
 constexpr int64_t kRenewTimeoutMs = 1000;
 /// A renewal that brought news is followed soon by one that tells it is in force.
-constexpr std::chrono::milliseconds kQuickRenew{20};
+constexpr std::chrono::milliseconds kReportRenewPause{20};
 /// Without a lease, another try is made after this long.
-constexpr std::chrono::milliseconds kRenewRetry{100};
+constexpr std::chrono::milliseconds kRenewRetryPause{100};
 constexpr int64_t kDepartTimeoutMs = 1000;
 /// Longest wait for the hand-off of ownership, when control cannot be reached.
 constexpr std::chrono::milliseconds kHandOffTimeout{5000};
 constexpr std::chrono::milliseconds kDrainPoll{20};
-constexpr std::chrono::milliseconds kReadTimeout{1000};
-constexpr size_t kMostListBytes = 16U << 20U;
+constexpr std::chrono::milliseconds kPollTimeout{1000};
+constexpr size_t kMaxResponseBytes = 16U << 20U;
 
 http::ServerLimits limitsOf(const v1::RouterSettings& settings) {
   http::ServerLimits limits;
@@ -50,10 +50,10 @@
   return options;
 }
 
-http::CallOptions shortCall() {
+http::CallOptions pollCallOptions() {
   http::CallOptions options;
-  options.connect_timeout = kReadTimeout;
-  options.read_timeout = kReadTimeout;
+  options.connect_timeout = kPollTimeout;
+  options.read_timeout = kPollTimeout;
   return options;
 }
 
@@ -62,7 +62,7 @@
   co_await timer.async_wait(asio::use_awaitable);
 }
 
-std::vector<routing::ListedRunner> parseList(const json& list) {
+std::vector<routing::ListedRunner> parseMachineList(const json& list) {
   std::vector<routing::ListedRunner> runners;
   for (const json& machine : list.value("machines", json::array())) {
     routing::ListedRunner runner;
@@ -92,21 +92,22 @@
       selector_(tables_, permits_, clock, stats_),
       control_({settings.control_addresses().begin(), settings.control_addresses().end()},
                settings.control_key(), addresses_),
-      handler_(RequestHandler::Parts{.settings = settings_,
-                                     .incarnation = incarnation_,
-                                     .tables = tables_,
-                                     .permits = permits_,
-                                     .selector = selector_,
-                                     .control = control_,
-                                     .stats = stats_,
-                                     .clock = clock_,
-                                     .workers = workers_,
-                                     .other_metrics = [this] { return otherMetrics(); }}),
+      handler_(
+          RequestHandler::Dependencies{.settings = settings_,
+                                       .incarnation = incarnation_,
+                                       .tables = tables_,
+                                       .permits = permits_,
+                                       .selector = selector_,
+                                       .control = control_,
+                                       .stats = stats_,
+                                       .clock = clock_,
+                                       .workers = workers_,
+                                       .network_metrics = [this] { return networkMetrics(); }}),
       server_(
           workers, limitsOf(settings.router()),
           [this](http::Exchange& exchange) { return handler_.handle(exchange); },
           [this](http::Status status, const std::string& reason) {
-            return handler_.refuse(status, reason);
+            return handler_.makeRefusal(status, reason);
           }),
       client_(workers.context(0)) {}
 
@@ -129,7 +130,7 @@
   return std::monostate{};
 }
 
-v1::RouterEntry RouterRole::entry() const {
+v1::RouterEntry RouterRole::routerEntry() const {
   v1::RouterEntry entry;
   entry.set_name(settings_.name());
   entry.set_incarnation(incarnation_);
@@ -149,13 +150,14 @@
 
 std::chrono::milliseconds RouterRole::renewPause(bool renewed) const {
   const std::chrono::milliseconds period(settings_.router().renew_period_ms());
-  const serving::ServingSnapshot in_force = tables_.snapshot();
-  const bool news_to_report = reported_revision_ != in_force.revision ||
-                              reported_view_ != in_force.view->number() || !tables_.mayServe();
-  if (!news_to_report) {
+  const serving::ServingSnapshot serving_snapshot = tables_.snapshot();
+  const bool has_unreported_change = reported_revision_ != serving_snapshot.revision ||
+                                     reported_view_ != serving_snapshot.view->number() ||
+                                     !tables_.mayServe();
+  if (!has_unreported_change) {
     return period;
   }
-  return std::min(period, renewed ? kQuickRenew : kRenewRetry);
+  return std::min(period, renewed ? kReportRenewPause : kRenewRetryPause);
 }
 
 asio::awaitable<bool> RouterRole::renewOnce() {
@@ -164,7 +166,7 @@
   }
   const serving::ServingSnapshot before = tables_.snapshot();
   v1::RenewRequest request;
-  *request.mutable_router() = entry();
+  *request.mutable_router() = routerEntry();
   request.set_revision_in_force(before.revision);
   const uint64_t reported_view = tables_.reportedView();
   request.set_view_in_force(reported_view);
@@ -197,21 +199,21 @@
 
 asio::awaitable<void> RouterRole::platformLoop() {
   while (!stopped_) {
-    co_await readPlatform();
+    co_await readMachineList();
     co_await pauseFor(std::chrono::milliseconds(settings_.router().platform_period_ms()));
   }
 }
 
-asio::awaitable<void> RouterRole::readPlatform() {
+asio::awaitable<void> RouterRole::readMachineList() {
   http::Request request(http::Verb::get, "/v1/machines", 11);
-  auto result =
-      co_await client_.call(settings_.router().platform_address(), std::move(request), shortCall());
-  if (auto* answer = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result)) {
-    auto body = co_await (*answer)->readAll(kMostListBytes);
+  auto result = co_await client_.call(settings_.router().platform_address(), std::move(request),
+                                      pollCallOptions());
+  if (auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
+    auto body = co_await (*answer)->readAll(kMaxResponseBytes);
     if (const auto* text = std::get_if<std::string>(&body)) {
       const json list = json::parse(*text, nullptr, false);
       if ((*answer)->status() == http::Status::ok && list.is_object()) {
-        tables_.setListed(parseList(list));
+        tables_.setListed(parseMachineList(list));
         co_return;
       }
     }
@@ -222,29 +224,29 @@
 
 asio::awaitable<void> RouterRole::runnerLoop() {
   while (!stopped_) {
-    co_await pauseFor(kRunnerPeriod);
+    co_await pauseFor(kRunnerPollPeriod);
     // Only the owner of a runner's first engine asks the runner, so that the number of questions
     // does not grow with the number of routers.
     for (const routing::EngineInfo& engine : tables_.ownedEngines()) {
       if (engine.number == 0) {
-        asio::co_spawn(workers_.context(0), readRunner(engine), asio::detached);
+        asio::co_spawn(workers_.context(0), readRunnerReport(engine), asio::detached);
       }
     }
   }
 }
 
-asio::awaitable<void> RouterRole::readRunner(routing::EngineInfo engine) {
+asio::awaitable<void> RouterRole::readRunnerReport(routing::EngineInfo engine) {
   http::Request request(http::Verb::get, "/v1/load", 11);
-  auto result = co_await client_.call(engine.address, std::move(request), shortCall());
-  auto* answer = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result);
+  auto result = co_await client_.call(engine.address, std::move(request), pollCallOptions());
+  auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
   if (answer == nullptr) {
     co_return;
   }
-  auto body = co_await (*answer)->readAll(kMostListBytes);
+  auto body = co_await (*answer)->readAll(kMaxResponseBytes);
   if (const auto* text = std::get_if<std::string>(&body)) {
     const json report = json::parse(*text, nullptr, false);
     if (report.is_object()) {
-      tables_.runnerLeaving(engine.runner, report.value("leaving", false));
+      tables_.setRunnerLeaving(engine.runner, report.value("leaving", false));
     }
   }
 }
@@ -256,7 +258,7 @@
   }
 }
 
-std::string RouterRole::otherMetrics() const {
+std::string RouterRole::networkMetrics() const {
   const http::ServerStats& server = server_.stats();
   const datagram::PeerStats& peers = socket_.stats();
   std::string text;
@@ -275,12 +277,12 @@
   return text;
 }
 
-bool RouterRole::handedOff() const {
-  const serving::ServingSnapshot in_force = tables_.snapshot();
-  for (const v1::RouterEntry& router : in_force.view->routers()) {
+bool RouterRole::ownershipHandedOff() const {
+  const serving::ServingSnapshot serving_snapshot = tables_.snapshot();
+  for (const v1::RouterEntry& router : serving_snapshot.view->routers()) {
     if (router.name() == settings_.name()) {
       return router.state() == v1::ROUTER_DRAINING &&
-             in_force.settled_view >= in_force.view->number();
+             serving_snapshot.settled_view >= serving_snapshot.view->number();
     }
   }
   return true;
@@ -297,7 +299,7 @@
       std::this_thread::sleep_for(kDrainPoll);
     }
   };
-  wait_until(kHandOffTimeout, [this] { return handedOff(); });
+  wait_until(kHandOffTimeout, [this] { return ownershipHandedOff(); });
   // Callers may keep an answer that names this address for its time to live.
   std::this_thread::sleep_for(std::chrono::milliseconds(settings_.router().endpoints_ttl_ms()));
   server_.stopAccepting();
--- a/src/daemon/router/router_role.h
+++ b/src/daemon/router/router_role.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "adapters/address_book.h"
+#include "adapters/address_overrides.h"
 #include "adapters/datagram/peer_socket.h"
 #include "adapters/http/http_server.h"
 #include "adapters/rpc/control_client.h"
@@ -36,20 +36,20 @@
   boost::asio::awaitable<bool> renewOnce();
   std::chrono::milliseconds renewPause(bool renewed) const;
   boost::asio::awaitable<void> platformLoop();
-  boost::asio::awaitable<void> readPlatform();
+  boost::asio::awaitable<void> readMachineList();
   boost::asio::awaitable<void> runnerLoop();
-  boost::asio::awaitable<void> readRunner(routing::EngineInfo engine);
+  boost::asio::awaitable<void> readRunnerReport(routing::EngineInfo engine);
   boost::asio::awaitable<void> tickLoop();
   boost::asio::awaitable<void> departOnce();
-  v1::RouterEntry entry() const;
-  std::string otherMetrics() const;
-  bool handedOff() const;
+  v1::RouterEntry routerEntry() const;
+  std::string networkMetrics() const;
+  bool ownershipHandedOff() const;
 
   const v1::Settings& settings_;
   const uint64_t incarnation_;
   WorkerPool& workers_;
   const Clock& clock_;
-  const AddressBook addresses_;
+  const AddressOverrides addresses_;
   metrics::RouterStats stats_;
   RouterTables tables_;
   datagram::PeerSocket socket_;
--- a/src/daemon/router/router_tables.cc
+++ b/src/daemon/router/router_tables.cc
@@ -5,7 +5,8 @@
 namespace workshatch::daemon {
 
 RouterTables::RouterTables(std::string name, const Clock& clock, routing::HoldDownOptions hold_down)
-    : name_(std::move(name)), clock_(clock), fleet_(hold_down), present_(name_), before_(name_) {}
+    : name_(std::move(name)), clock_(clock), fleet_(hold_down), current_ownership_(name_),
+      settled_ownership_(name_) {}
 
 serving::ServingSnapshot RouterTables::snapshot() const {
   const std::lock_guard lock(serving_mutex_);
@@ -73,25 +74,26 @@
   refreshOwnership();
 }
 
-void RouterTables::runnerFailed(const std::string& runner) {
+void RouterTables::recordRunnerFailure(const std::string& runner) {
   const std::lock_guard lock(fleet_mutex_);
   fleet_.recordFailure(runner, clock_.monotonicMs());
 }
 
-void RouterTables::runnerSucceeded(const std::string& runner) {
+void RouterTables::recordRunnerSuccess(const std::string& runner) {
   const std::lock_guard lock(fleet_mutex_);
   fleet_.recordSuccess(runner, clock_.monotonicMs());
 }
 
-void RouterTables::noteBackoff(const std::string& runner, const http::ClientAnswer& answer) {
-  const auto asked_ms = http::backoffAskedMs(answer);
+void RouterTables::recordBackoffRequest(const std::string& runner,
+                                        const http::ClientResponse& answer) {
+  const auto asked_ms = http::requestedBackoffMs(answer);
   if (asked_ms) {
     const std::lock_guard lock(fleet_mutex_);
     fleet_.recordBackoffRequest(runner, *asked_ms, clock_.monotonicMs());
   }
 }
 
-void RouterTables::runnerLeaving(const std::string& runner, bool leaving) {
+void RouterTables::setRunnerLeaving(const std::string& runner, bool leaving) {
   {
     const std::lock_guard lock(fleet_mutex_);
     fleet_.setReportedLeaving(runner, leaving);
@@ -109,38 +111,38 @@
   return fleet_.find(engine, clock_.monotonicMs());
 }
 
-void RouterTables::hold(const OwnPermit& permit) {
-  const std::lock_guard lock(held_mutex_);
-  held_[admission::keyOf(permit.held.permit())] = permit;
+void RouterTables::addHeldPermit(const PermitRecord& permit) {
+  const std::lock_guard lock(held_permits_mutex_);
+  held_permits_[admission::keyOf(permit.held_permit.permit())] = permit;
 }
 
-void RouterTables::granted(const v1::PermitId& permit) {
-  const std::lock_guard lock(held_mutex_);
-  const auto found = held_.find(admission::keyOf(permit));
-  if (found != held_.end()) {
+void RouterTables::markGranted(const v1::PermitId& permit) {
+  const std::lock_guard lock(held_permits_mutex_);
+  const auto found = held_permits_.find(admission::keyOf(permit));
+  if (found != held_permits_.end()) {
     found->second.granted = true;
   }
 }
 
-std::optional<OwnPermit> RouterTables::letGo(const v1::PermitId& permit) {
-  const std::lock_guard lock(held_mutex_);
-  auto node = held_.extract(admission::keyOf(permit));
+std::optional<PermitRecord> RouterTables::removeHeldPermit(const v1::PermitId& permit) {
+  const std::lock_guard lock(held_permits_mutex_);
+  auto node = held_permits_.extract(admission::keyOf(permit));
   if (node.empty()) {
     return std::nullopt;
   }
   return std::move(node.mapped());
 }
 
-bool RouterTables::holds(const v1::PermitId& permit) const {
-  const std::lock_guard lock(held_mutex_);
-  return held_.contains(admission::keyOf(permit));
+bool RouterTables::holdsPermit(const v1::PermitId& permit) const {
+  const std::lock_guard lock(held_permits_mutex_);
+  return held_permits_.contains(admission::keyOf(permit));
 }
 
-std::vector<OwnPermit> RouterTables::heldPermits() const {
-  const std::lock_guard lock(held_mutex_);
-  std::vector<OwnPermit> result;
-  result.reserve(held_.size());
-  for (const auto& [key, permit] : held_) {
+std::vector<PermitRecord> RouterTables::heldPermits() const {
+  const std::lock_guard lock(held_permits_mutex_);
+  std::vector<PermitRecord> result;
+  result.reserve(held_permits_.size());
+  for (const auto& [key, permit] : held_permits_) {
     result.push_back(permit);
   }
   return result;
@@ -148,13 +150,13 @@
 
 void RouterTables::refreshOwnership() {
   const std::lock_guard refresh_lock(refresh_mutex_);
-  const serving::ServingSnapshot in_force = snapshot();
+  const serving::ServingSnapshot serving_snapshot = snapshot();
   std::vector<routing::EngineInfo> engines;
   {
     const std::lock_guard lock(fleet_mutex_);
     engines = fleet_.allEngines(clock_.monotonicMs());
   }
-  const bool settled = in_force.settled_view >= in_force.view->number();
+  const bool settled = serving_snapshot.settled_view >= serving_snapshot.view->number();
   std::vector<routing::EngineInfo> owned;
   std::vector<admission::EngineStatus> statuses;
   for (const routing::EngineInfo& engine : engines) {
@@ -163,17 +165,17 @@
     status.service = engine.service;
     status.leaving = engine.leaving;
     // Until every router has this view, engines that change hands have no owner.
-    const bool was_owned =
-        owned_view_ != nullptr && before_.owns(owned_view_, engine.engine, engine.zone);
-    status.owned =
-        present_.owns(in_force.view, engine.engine, engine.zone) && (settled || was_owned);
+    const bool was_owned = last_settled_view_ != nullptr &&
+                           settled_ownership_.owns(last_settled_view_, engine.engine, engine.zone);
+    status.owned = current_ownership_.owns(serving_snapshot.view, engine.engine, engine.zone) &&
+                   (settled || was_owned);
     if (status.owned) {
       owned.push_back(engine);
     }
     statuses.push_back(std::move(status));
   }
   if (settled) {
-    owned_view_ = in_force.view;
+    last_settled_view_ = serving_snapshot.view;
   }
   {
     const std::lock_guard lock(fleet_mutex_);
--- a/src/daemon/router/router_tables.h
+++ b/src/daemon/router/router_tables.h
@@ -20,8 +20,8 @@
 namespace workshatch::daemon {
 
 /// A permit that this router holds for a request in progress.
-struct OwnPermit {
-  v1::HeldPermit held;
+struct PermitRecord {
+  v1::HeldPermit held_permit;
   /// Zone of the engine, by which its owner is found.
   std::string zone;
   /// False while the owner has not answered yet.
@@ -43,11 +43,11 @@
   void setReportedView(uint64_t view);
 
   void setListed(std::vector<routing::ListedRunner> listed);
-  void runnerFailed(const std::string& runner);
-  void runnerSucceeded(const std::string& runner);
+  void recordRunnerFailure(const std::string& runner);
+  void recordRunnerSuccess(const std::string& runner);
   /// Takes what an answer of the runner asks for: no requests for a time.
-  void noteBackoff(const std::string& runner, const http::ClientAnswer& answer);
-  void runnerLeaving(const std::string& runner, bool leaving);
+  void recordBackoffRequest(const std::string& runner, const http::ClientResponse& answer);
+  void setRunnerLeaving(const std::string& runner, bool leaving);
   std::vector<routing::EngineInfo> engines(const std::string& service) const;
   std::optional<routing::EngineInfo> findEngine(const std::string& engine) const;
 
@@ -60,12 +60,12 @@
     return use(permit_table_);
   }
 
-  void hold(const OwnPermit& permit);
-  void granted(const v1::PermitId& permit);
+  void addHeldPermit(const PermitRecord& permit);
+  void markGranted(const v1::PermitId& permit);
   /// @return the permit, if it was held.
-  std::optional<OwnPermit> letGo(const v1::PermitId& permit);
-  bool holds(const v1::PermitId& permit) const;
-  std::vector<OwnPermit> heldPermits() const;
+  std::optional<PermitRecord> removeHeldPermit(const v1::PermitId& permit);
+  bool holdsPermit(const v1::PermitId& permit) const;
+  std::vector<PermitRecord> heldPermits() const;
 
   /// Recomputes which engines exist and which are owned here. Called after each change of either.
   void refreshOwnership();
@@ -80,16 +80,16 @@
   routing::FleetTable fleet_;
   mutable std::mutex permit_table_mutex_;
   admission::PermitTable permit_table_;
-  mutable std::mutex held_mutex_;
-  std::map<admission::PermitKey, OwnPermit> held_;
+  mutable std::mutex held_permits_mutex_;
+  std::map<admission::PermitKey, PermitRecord> held_permits_;
 
   /// Serializes refreshOwnership; taken before all others.
   std::mutex refresh_mutex_;
   /// View under which engines were owned last. Guarded by refresh_mutex_.
-  std::shared_ptr<const v1::View> owned_view_;
-  /// Under the view in force, and under `owned_view_`. Guarded by refresh_mutex_.
-  routing::OwnershipCache present_;
-  routing::OwnershipCache before_;
+  std::shared_ptr<const v1::View> last_settled_view_;
+  /// Under the view in force, and under `last_settled_view_`. Guarded by refresh_mutex_.
+  routing::OwnershipCache current_ownership_;
+  routing::OwnershipCache settled_ownership_;
   /// Guarded by fleet_mutex_.
   std::vector<routing::EngineInfo> owned_engines_;
 };
--- a/src/daemon/router/service_run.cc
+++ b/src/daemon/router/service_run.cc
@@ -21,14 +21,14 @@
 /// How long a router tries to reach the ledger before it refuses the request.
 constexpr int64_t kLedgerTimeoutMs = 4000;
 /// How long it goes on recording what happened after the caller has its answer.
-constexpr int64_t kLedgerLateTimeoutMs = 120'000;
-constexpr std::chrono::milliseconds kInProgressPause{100};
+constexpr int64_t kLedgerBackgroundTimeoutMs = 120'000;
+constexpr std::chrono::milliseconds kInProgressPollInterval{100};
 constexpr uint32_t kRetryAfterMs = 1000;
-constexpr size_t kMostAnswerBytes = 4U << 20U;
+constexpr size_t kMaxAnswerBytes = 4U << 20U;
 /// Parts of a ledger key are joined by a character that no name contains.
 constexpr char kKeySeparator = '\n';
 
-uint64_t randomAttempt() {
+uint64_t newAttemptId() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32U) | device();
 }
@@ -36,7 +36,7 @@
 constexpr const char* kLedgerUnreachable = "ledger-unreachable";
 
 /// The refusal that follows from the ledger's answer to a begin.
-http::Problem problemOf(v1::LedgerOutcome outcome) {
+http::Problem ledgerProblem(v1::LedgerOutcome outcome) {
   http::Problem problem;
   switch (outcome) {
   case v1::LEDGER_KEY_REUSED:
@@ -75,7 +75,7 @@
                        std::string router, uint64_t incarnation)
     : exchange_(exchange), context_(context), request_(std::move(request)), selector_(selector),
       tables_(tables), client_(client), control_(control), stats_(stats), clock_(clock),
-      router_(std::move(router)), incarnation_(incarnation), attempt_(randomAttempt()) {}
+      router_(std::move(router)), incarnation_(incarnation), attempt_id_(newAttemptId()) {}
 
 int64_t ServiceRun::remainingMs() const {
   return std::max<int64_t>(context_.deadline_ms - clock_.monotonicMs(), 1);
@@ -116,47 +116,46 @@
 
 http::awaitable<void> ServiceRun::run() {
   if (!request_.repeatable) {
-    co_await runOnce();
+    co_await runNonRepeatable();
     co_return;
   }
   const ServiceOutcome outcome = co_await dispatch();
   if (outcome.execution == http::Execution::Completed) {
     co_await answer(outcome.answer, outcome.engine, false);
   } else {
-    co_await refuse(outcome.problem);
+    co_await sendProblem(outcome.problem);
   }
 }
 
 http::awaitable<ServiceOutcome> ServiceRun::dispatch() {
   ServiceOutcome outcome;
-  std::set<std::string> failed;
+  std::set<std::string> failed_engines;
   while (true) {
-    Selection selection = co_await selector_.select(context_, failed);
+    Selection selection = co_await selector_.select(context_, failed_engines);
     if (const auto* refused = std::get_if<SelectionRefused>(&selection)) {
       outcome.problem = http::Problem{.status = http::Status::service_unavailable,
                                       .code = refused->code,
                                       .detail = refused->detail,
-                                      .execution = context_.sent ? http::Execution::Unknown
-                                                                 : http::Execution::NotRun,
+                                      .execution = context_.maybe_sent ? http::Execution::Unknown
+                                                                       : http::Execution::NotRun,
                                       .retry_after_ms = refused->retry_after_ms};
       outcome.execution = outcome.problem.execution;
       co_return outcome;
     }
     const Placement placement = std::get<Placement>(std::move(selection));
-    const bool ended = co_await dispatchOnce(placement, outcome);
+    const bool ended = co_await dispatchTo(placement, outcome);
     selector_.release(placement);
     if (ended) {
       co_return outcome;
     }
     ++stats_.retries_total;
-    failed.insert(placement.engine.engine);
-    tables_.runnerFailed(placement.engine.runner);
+    failed_engines.insert(placement.engine.engine);
+    tables_.recordRunnerFailure(placement.engine.runner);
   }
 }
 
 /// @return whether the request has ended; false: another engine may be tried.
-http::awaitable<bool> ServiceRun::dispatchOnce(const Placement& placement,
-                                               ServiceOutcome& outcome) {
+http::awaitable<bool> ServiceRun::dispatchTo(const Placement& placement, ServiceOutcome& outcome) {
   outcome.engine = placement.engine.engine;
   http::CallOptions options;
   options.connect_timeout = kConnectTimeout;
@@ -166,61 +165,61 @@
   options.fresh_connection = !request_.repeatable;
   http::CallCancel cancel;
   if (request_.repeatable) {
-    exchange_.onHangUp([&cancel] { cancel.cancel(); });
+    exchange_.onDisconnect([&cancel] { cancel.cancel(); });
   }
   http::CallResult result =
       co_await client_.call(placement.engine.address, upstreamRequest(placement), options, &cancel);
-  exchange_.onHangUp(nullptr);
+  exchange_.onDisconnect(nullptr);
   const auto* error = std::get_if<http::CallError>(&result);
   std::variant<std::string, http::CallError> body = std::string();
   if (error == nullptr) {
-    http::ClientAnswer& answer = *std::get<std::unique_ptr<http::ClientAnswer>>(result);
-    tables_.noteBackoff(placement.engine.runner, answer);
-    body = co_await answer.readAll(kMostAnswerBytes);
+    http::ClientResponse& answer = *std::get<std::unique_ptr<http::ClientResponse>>(result);
+    tables_.recordBackoffRequest(placement.engine.runner, answer);
+    body = co_await answer.readAll(kMaxAnswerBytes);
     if (std::holds_alternative<std::string>(body)) {
       const auto status = static_cast<unsigned>(answer.status());
       const bool refused = answer.header("X-Execution").value_or("") == "not-run";
       if (refused && status >= 500) {
-        context_.passed_over.push_back(
-            PassedOver{.engine = placement.engine.engine, .reason = "refused before it ran"});
+        context_.skipped_engines.push_back(
+            SkippedEngine{.engine = placement.engine.engine, .reason = "refused before it ran"});
         co_return false;
       }
       outcome.execution = http::Execution::Completed;
       outcome.answer.set_http_status(status);
       outcome.answer.set_content_type(answer.header("Content-Type").value_or("text/plain"));
       outcome.answer.set_body(std::get<std::string>(std::move(body)));
-      tables_.runnerSucceeded(placement.engine.runner);
+      tables_.recordRunnerSuccess(placement.engine.runner);
       co_return true;
     }
     error = &std::get<http::CallError>(body);
   }
-  context_.passed_over.push_back(
-      PassedOver{.engine = placement.engine.engine, .reason = error->message});
+  context_.skipped_engines.push_back(
+      SkippedEngine{.engine = placement.engine.engine, .reason = error->message});
   const bool maybe_sent = error->phase == http::CallPhase::Sent;
-  context_.sent = context_.sent || maybe_sent;
-  const bool try_again = !maybe_sent || request_.repeatable;
-  if (try_again && clock_.monotonicMs() < context_.deadline_ms && !exchange_.hungUp()) {
+  context_.maybe_sent = context_.maybe_sent || maybe_sent;
+  const bool may_retry = !maybe_sent || request_.repeatable;
+  if (may_retry && clock_.monotonicMs() < context_.deadline_ms && !exchange_.clientDisconnected()) {
     co_return false;
   }
-  outcome.execution = context_.sent ? http::Execution::Unknown : http::Execution::NotRun;
+  outcome.execution = context_.maybe_sent ? http::Execution::Unknown : http::Execution::NotRun;
   outcome.problem = http::Problem{.status = http::Status::bad_gateway,
                                   .code = "no-answer",
                                   .detail = "the back end gave no whole answer",
                                   .execution = outcome.execution,
                                   .retry_after_ms = kRetryAfterMs};
   if (maybe_sent) {
-    tables_.runnerFailed(placement.engine.runner);
+    tables_.recordRunnerFailure(placement.engine.runner);
   }
   co_return true;
 }
 
-http::awaitable<v1::LedgerReply> ServiceRun::beginOrWait() {
+http::awaitable<v1::LedgerReply> ServiceRun::beginInLedger() {
   v1::LedgerBeginRequest begin;
   begin.set_key(ledgerKey());
   begin.set_fingerprint(requestFingerprint());
   begin.set_router(router_);
   begin.set_incarnation(incarnation_);
-  begin.set_attempt(attempt_);
+  begin.set_attempt(attempt_id_);
   asio::steady_timer pause(co_await asio::this_coro::executor);
   while (true) {
     auto result = co_await control_.begin(begin, std::min(remainingMs(), kLedgerTimeoutMs));
@@ -229,24 +228,25 @@
     }
     v1::LedgerReply& reply = std::get<v1::LedgerReply>(result);
     const bool wait = reply.outcome() == v1::LEDGER_IN_PROGRESS &&
-                      clock_.monotonicMs() < context_.deadline_ms && !exchange_.hungUp();
+                      clock_.monotonicMs() < context_.deadline_ms &&
+                      !exchange_.clientDisconnected();
     if (!wait) {
       co_return std::move(reply);
     }
-    pause.expires_after(kInProgressPause);
+    pause.expires_after(kInProgressPollInterval);
     co_await pause.async_wait(asio::use_awaitable);
   }
 }
 
-http::awaitable<void> ServiceRun::runOnce() {
+http::awaitable<void> ServiceRun::runNonRepeatable() {
   ++stats_.ledger_begins_total;
-  const v1::LedgerReply begun = co_await beginOrWait();
+  const v1::LedgerReply begun = co_await beginInLedger();
   if (begun.outcome() == v1::LEDGER_GRANTED) {
     ServiceOutcome outcome = co_await dispatch();
     if (outcome.execution == http::Execution::NotRun) {
-      co_await abandon(std::move(outcome));
+      co_await abandonInLedger(std::move(outcome));
     } else {
-      co_await record(std::move(outcome));
+      co_await recordInLedger(std::move(outcome));
     }
     co_return;
   }
@@ -256,32 +256,32 @@
     co_return;
   }
   ServiceOutcome refused;
-  refused.problem = problemOf(begun.outcome());
+  refused.problem = ledgerProblem(begun.outcome());
   if (refused.problem.code == kLedgerUnreachable) {
     // Nothing was dispatched; a begin that is still under way must not stay open.
-    co_await abandon(std::move(refused));
+    co_await abandonInLedger(std::move(refused));
   } else {
-    co_await refuse(std::move(refused.problem));
+    co_await sendProblem(std::move(refused.problem));
   }
 }
 
-http::awaitable<void> ServiceRun::abandon(ServiceOutcome outcome) {
+http::awaitable<void> ServiceRun::abandonInLedger(ServiceOutcome outcome) {
   v1::LedgerAbortRequest abort;
   abort.set_key(ledgerKey());
-  abort.set_attempt(attempt_);
+  abort.set_attempt(attempt_id_);
   asio::co_spawn(
       co_await asio::this_coro::executor,
       [](rpc::ControlClient& control, v1::LedgerAbortRequest request) -> asio::awaitable<void> {
-        co_await control.abort(std::move(request), kLedgerLateTimeoutMs);
+        co_await control.abort(std::move(request), kLedgerBackgroundTimeoutMs);
       }(control_, std::move(abort)),
       asio::detached);
-  co_await refuse(std::move(outcome.problem));
+  co_await sendProblem(std::move(outcome.problem));
 }
 
-http::awaitable<void> ServiceRun::record(ServiceOutcome outcome) {
+http::awaitable<void> ServiceRun::recordInLedger(ServiceOutcome outcome) {
   v1::LedgerFinishRequest finish;
   finish.set_key(ledgerKey());
-  finish.set_attempt(attempt_);
+  finish.set_attempt(attempt_id_);
   finish.set_unknown(outcome.execution == http::Execution::Unknown);
   *finish.mutable_answer() = outcome.answer;
   const auto recorded = co_await control_.finish(finish, kLedgerTimeoutMs);
@@ -289,7 +289,7 @@
     asio::co_spawn(
         co_await asio::this_coro::executor,
         [](rpc::ControlClient& control, v1::LedgerFinishRequest request) -> asio::awaitable<void> {
-          co_await control.finish(std::move(request), kLedgerLateTimeoutMs);
+          co_await control.finish(std::move(request), kLedgerBackgroundTimeoutMs);
         }(control_, std::move(finish)),
         asio::detached);
   }
@@ -307,7 +307,7 @@
   }
   problem.execution = http::Execution::Unknown;
   problem.retry_after_ms = kRetryAfterMs;
-  co_await refuse(std::move(problem));
+  co_await sendProblem(std::move(problem));
 }
 
 http::awaitable<void> ServiceRun::answer(const v1::RecordedAnswer& recorded,
@@ -324,7 +324,7 @@
   co_await exchange_.respond(std::move(response));
 }
 
-http::awaitable<void> ServiceRun::refuse(http::Problem problem) {
+http::awaitable<void> ServiceRun::sendProblem(http::Problem problem) {
   problem.request_id = context_.id;
   const bool unknown = problem.execution == http::Execution::Unknown;
   ++(unknown ? stats_.answers_unknown_total : stats_.answers_not_run_total);
--- a/src/daemon/router/service_run.h
+++ b/src/daemon/router/service_run.h
@@ -44,14 +44,14 @@
 
 private:
   http::awaitable<ServiceOutcome> dispatch();
-  http::awaitable<bool> dispatchOnce(const Placement& placement, ServiceOutcome& outcome);
-  http::awaitable<void> runOnce();
-  http::awaitable<v1::LedgerReply> beginOrWait();
-  http::awaitable<void> record(ServiceOutcome outcome);
-  http::awaitable<void> abandon(ServiceOutcome outcome);
+  http::awaitable<bool> dispatchTo(const Placement& placement, ServiceOutcome& outcome);
+  http::awaitable<void> runNonRepeatable();
+  http::awaitable<v1::LedgerReply> beginInLedger();
+  http::awaitable<void> recordInLedger(ServiceOutcome outcome);
+  http::awaitable<void> abandonInLedger(ServiceOutcome outcome);
   http::awaitable<void> answer(const v1::RecordedAnswer& recorded, const std::string& engine,
                                bool replayed);
-  http::awaitable<void> refuse(http::Problem problem);
+  http::awaitable<void> sendProblem(http::Problem problem);
   http::Request upstreamRequest(const Placement& placement) const;
   std::string ledgerKey() const;
   std::string requestFingerprint() const;
@@ -68,7 +68,7 @@
   const Clock& clock_;
   const std::string router_;
   const uint64_t incarnation_;
-  const uint64_t attempt_;
+  const uint64_t attempt_id_;
 };
 
 } // namespace workshatch::daemon
--- a/src/daemon/runner_list_reader.cc
+++ b/src/daemon/runner_list_reader.cc
@@ -29,7 +29,7 @@
   if (const auto* error = std::get_if<http::CallError>(&called)) {
     co_return Error{error->message};
   }
-  auto answer = std::move(std::get<std::unique_ptr<http::ClientAnswer>>(called));
+  auto answer = std::move(std::get<std::unique_ptr<http::ClientResponse>>(called));
   auto body = co_await answer->readAll(kMaxPageBytes);
   if (const auto* error = std::get_if<http::CallError>(&body)) {
     co_return Error{error->message};
@@ -42,8 +42,8 @@
 }
 
 /// Takes the time for which the platform wants no calls from this process.
-void RunnerListReader::recordBackoff(const http::ClientAnswer& answer) {
-  const auto asked_ms = http::backoffAskedMs(answer);
+void RunnerListReader::recordBackoff(const http::ClientResponse& answer) {
+  const auto asked_ms = http::requestedBackoffMs(answer);
   if (!asked_ms) {
     return;
   }
--- a/src/daemon/runner_list_reader.h
+++ b/src/daemon/runner_list_reader.h
@@ -35,7 +35,7 @@
 
 private:
   http::awaitable<Result<RunnerPage>> readPage(std::string page);
-  void recordBackoff(const http::ClientAnswer& answer);
+  void recordBackoff(const http::ClientResponse& answer);
   void recordRejected(const RejectedEntries& rejected);
 
   http::Client client_;
--- a/src/scenario/fleet.cc
+++ b/src/scenario/fleet.cc
@@ -16,11 +16,11 @@
 constexpr const char* kControlKey = "scenario-control-key";
 constexpr const char* kPeerKey = "scenario-peer-key";
 constexpr std::array<const char*, 3> kZones = {"mendoza-a", "mendoza-b", "san-juan"};
-constexpr uint32_t kModelHost = 21;
-constexpr uint32_t kServiceHost = 61;
-constexpr uint32_t kRelayPort = 20'000;
+constexpr uint32_t kFirstModelHost = 21;
+constexpr uint32_t kFirstServiceHost = 61;
+constexpr uint32_t kFirstProxyPort = 20'000;
 /// Relay ports of one daemon's links, two a link.
-constexpr uint32_t kPortsPerDaemon = 64;
+constexpr uint32_t kProxyPortsPerDaemon = 64;
 
 Result<std::monostate> writeFile(const std::string& path, const std::string& content) {
   std::ofstream out(path, std::ios::trunc);
@@ -62,11 +62,11 @@
 
 Result<std::monostate> Fleet::prepare() {
   std::filesystem::remove_all(plan_.folder);
-  for (const char* part : {"settings", "logs", "data", "runs"}) {
-    std::filesystem::create_directories(plan_.folder + "/" + part);
+  for (const char* subfolder : {"settings", "logs", "data", "runs"}) {
+    std::filesystem::create_directories(plan_.folder + "/" + subfolder);
   }
-  if (plan_.relays) {
-    if (const auto opened = openRelays(); isError(opened)) {
+  if (plan_.proxies) {
+    if (const auto opened = startProxies(); isError(opened)) {
       return opened;
     }
   }
@@ -82,12 +82,12 @@
   };
   for (uint32_t i = 0; i < plan_.models; ++i) {
     const std::string name = "assistant-" + std::to_string(i + 1);
-    addRunner(name, "model", kModelHost + i);
+    addRunner(name, "model", kFirstModelHost + i);
     add(name, "assistant", i, plan_.engines);
   }
   for (uint32_t i = 0; i < plan_.services; ++i) {
     const std::string name = "booking-" + std::to_string(i + 1);
-    addRunner(name, "service", kServiceHost + i);
+    addRunner(name, "service", kFirstServiceHost + i);
     add(name, "booking", i, 1);
   }
   const std::string machines_path = plan_.folder + "/machines.json";
@@ -103,7 +103,7 @@
       return written;
     }
   }
-  relay_worker_.start();
+  proxy_worker_.start();
   return std::monostate{};
 }
 
@@ -130,18 +130,18 @@
                            {"operator_token", kOperatorToken},
                            {"snapshot_entries", plan_.snapshot_entries}};
   }
-  for (uint32_t to = 1; plan_.relays && to <= plan_.routers; ++to) {
+  for (uint32_t to = 1; plan_.proxies && to <= plan_.routers; ++to) {
     if (to == router) {
       continue;
     }
-    const uint32_t port = kRelayPort + router * kPortsPerDaemon + to * 2;
-    const std::string relay = plan_.network + ".200:";
+    const uint32_t port = kFirstProxyPort + router * kProxyPortsPerDaemon + to * 2;
+    const std::string proxy_host = plan_.network + ".200:";
     json& overrides = settings["address_overrides"];
     overrides.push_back(
-        {{"address", hostOf(to) + ":8090"}, {"connect_to", relay + std::to_string(port + 1)}});
+        {{"address", hostOf(to) + ":8090"}, {"connect_to", proxy_host + std::to_string(port + 1)}});
     if (to <= plan_.controls) {
       overrides.push_back(
-          {{"address", hostOf(to) + ":8070"}, {"connect_to", relay + std::to_string(port)}});
+          {{"address", hostOf(to) + ":8070"}, {"connect_to", proxy_host + std::to_string(port)}});
     }
   }
   const std::string path = plan_.folder + "/settings/" + name + ".json";
@@ -150,13 +150,13 @@
   return writeFile(path, settings.dump(2));
 }
 
-Result<std::monostate> Fleet::openRelays() {
+Result<std::monostate> Fleet::startProxies() {
   for (uint32_t from = 1; from <= plan_.routers; ++from) {
     for (uint32_t to = 1; to <= plan_.routers; ++to) {
       if (from == to) {
         continue;
       }
-      if (const auto opened = openLink(from, to); isError(opened)) {
+      if (const auto opened = startLinkProxies(from, to); isError(opened)) {
         return opened;
       }
     }
@@ -164,18 +164,19 @@
   return std::monostate{};
 }
 
-Result<std::monostate> Fleet::openLink(uint32_t from, uint32_t to) {
+Result<std::monostate> Fleet::startLinkProxies(uint32_t from, uint32_t to) {
   Link link;
-  const uint32_t port = kRelayPort + from * kPortsPerDaemon + to * 2;
-  const std::string relay = plan_.network + ".200:";
+  const uint32_t port = kFirstProxyPort + from * kProxyPortsPerDaemon + to * 2;
+  const std::string proxy_host = plan_.network + ".200:";
   if (to <= plan_.controls) {
-    link.rpc = std::make_unique<TcpRelay>(relay_worker_.context(0), hostOf(to) + ":8070");
-    if (const auto listening = link.rpc->listen(relay + std::to_string(port)); isError(listening)) {
+    link.rpc = std::make_unique<TcpProxy>(proxy_worker_.context(0), hostOf(to) + ":8070");
+    if (const auto listening = link.rpc->listen(proxy_host + std::to_string(port));
+        isError(listening)) {
       return listening;
     }
   }
-  link.peer = std::make_unique<UdpRelay>(relay_worker_.context(0), hostOf(to) + ":8090");
-  if (const auto listening = link.peer->listen(relay + std::to_string(port + 1));
+  link.peer = std::make_unique<UdpProxy>(proxy_worker_.context(0), hostOf(to) + ":8090");
+  if (const auto listening = link.peer->listen(proxy_host + std::to_string(port + 1));
       isError(listening)) {
     return listening;
   }
@@ -183,7 +184,7 @@
   return std::monostate{};
 }
 
-void Fleet::setCut(const std::string& from, const std::string& to, bool cut) {
+void Fleet::setLinkCut(const std::string& from, const std::string& to, bool cut) {
   const auto forward = links_.find(linkName(from, to));
   if (forward != links_.end()) {
     forward->second.peer->cuts().forward = cut;
@@ -198,7 +199,7 @@
   }
 }
 
-void Fleet::healAll() {
+void Fleet::healAllLinks() {
   for (auto& [name, link] : links_) {
     link.peer->cuts().forward = false;
     if (link.rpc) {
@@ -300,7 +301,7 @@
   v1::Route* confirmations = configuration.add_routes();
   confirmations->set_service("booking");
   confirmations->set_path_prefix("/confirmations");
-  confirmations->set_repeatable(!plan_.ledger);
+  confirmations->set_repeatable(!plan_.non_repeatable_routes);
   confirmations->set_deadline_ms(20'000);
   v1::Route* chats = configuration.add_routes();
   chats->set_service("assistant");
--- a/src/scenario/fleet.h
+++ b/src/scenario/fleet.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "adapters/worker_pool.h"
+#include "scenario/network_proxy.h"
 #include "scenario/process.h"
-#include "scenario/relay.h"
 #include "workshatch/v1/configuration.pb.h"
 
 namespace workshatch::scenario {
@@ -29,9 +29,9 @@
   uint32_t step_ms = 5;
   uint64_t cache_blocks = 4096;
   /// Daemons reach each other through relays, which can be cut.
-  bool relays = false;
+  bool proxies = false;
   /// False: no route is declared as one that may not be repeated.
-  bool ledger = true;
+  bool non_repeatable_routes = true;
   uint32_t snapshot_entries = 4096;
   uint32_t engine_limit = 64;
   uint32_t queue_length = 64;
@@ -42,7 +42,7 @@
 class Fleet {
 public:
   explicit Fleet(FleetPlan plan);
-  ~Fleet() { relay_worker_.stop(); }
+  ~Fleet() { proxy_worker_.stop(); }
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
@@ -65,8 +65,8 @@
   std::vector<std::string> modelNames() const;
 
   /// Cuts what `from` sends to `to`.
-  void setCut(const std::string& from, const std::string& to, bool cut);
-  void healAll();
+  void setLinkCut(const std::string& from, const std::string& to, bool cut);
+  void healAllLinks();
 
   /// The configuration that scenarios start with; `variant` makes it differ from others.
   v1::Configuration configuration(uint64_t variant) const;
@@ -74,21 +74,21 @@
 
 private:
   struct Link {
-    std::unique_ptr<TcpRelay> rpc;
-    std::unique_ptr<UdpRelay> peer;
+    std::unique_ptr<TcpProxy> rpc;
+    std::unique_ptr<UdpProxy> peer;
   };
 
   std::string hostOf(uint32_t router) const;
   Result<std::monostate> writeSettings(uint32_t router);
-  Result<std::monostate> openRelays();
-  Result<std::monostate> openLink(uint32_t from, uint32_t to);
+  Result<std::monostate> startProxies();
+  Result<std::monostate> startLinkProxies(uint32_t from, uint32_t to);
   void addRunner(const std::string& name, const std::string& kind, uint32_t host);
 
   const FleetPlan plan_;
   std::map<std::string, std::unique_ptr<Process>> processes_;
   std::map<std::string, std::string> runner_addresses_;
   /// Runs the relays; declared before them, since their sockets belong to it.
-  WorkerPool relay_worker_{1};
+  WorkerPool proxy_worker_{1};
   /// By "from>to".
   std::map<std::string, Link> links_;
 };
--- a/src/scenario/invariants.cc
+++ b/src/scenario/invariants.cc
@@ -15,48 +15,48 @@
 namespace {
 
 /// An accepted change is in force on every router that serves within this time.
-constexpr int64_t kInForceMs = 3000;
+constexpr int64_t kActivationDeadlineMs = 3000;
 /// A refusal takes no longer than looking for an engine or the ledger does.
-constexpr int64_t kMostRefusalMs = 9000;
-constexpr size_t kMostReported = 10;
+constexpr int64_t kMaxRefusalMs = 9000;
+constexpr size_t kMaxReportedViolations = 10;
 
-struct RunCounts {
+struct RecordedRuns {
   std::set<std::string> ids;
   std::map<std::string, uint64_t> by_key;
   uint64_t total = 0;
 };
 
-class Checker {
+class InvariantChecker {
 public:
-  explicit Checker(const Evidence& evidence) : evidence_(evidence) {}
+  explicit InvariantChecker(const InvariantInputs& inputs) : inputs_(inputs) {}
 
-  Verdict check() {
-    readRuns();
-    for (const CallerLoad* load : evidence_.loads) {
-      for (const Answer& answer : load->answers()) {
-        checkAnswer(answer);
+  InvariantReport check() {
+    readRunLogs();
+    for (const LoadGenerator* load : inputs_.loads) {
+      for (const AttemptResult& answer : load->attempts()) {
+        checkAttempt(answer);
       }
-      for (const Conversation& conversation : load->conversations()) {
-        checkConversation(conversation);
+      for (const ChatTurn& chat_turn : load->chatTurns()) {
+        checkChatTurn(chat_turn);
       }
     }
     checkKeys();
-    for (const std::string& path : evidence_.daemon_logs) {
+    for (const std::string& path : inputs_.daemon_logs) {
       checkLog(path);
     }
-    verdict_.counts.runs = runs_.total;
-    return verdict_;
+    report_.counts.runs = runs_.total;
+    return report_;
   }
 
 private:
   void fail(const std::string& text) {
-    if (verdict_.violations.size() < kMostReported) {
-      verdict_.violations.push_back(text);
+    if (report_.violations.size() < kMaxReportedViolations) {
+      report_.violations.push_back(text);
     }
   }
 
-  void readRuns() {
-    for (const std::string& path : evidence_.run_logs) {
+  void readRunLogs() {
+    for (const std::string& path : inputs_.run_logs) {
       std::ifstream in(path);
       for (std::string line; std::getline(in, line);) {
         const size_t tab = line.find('\t');
@@ -68,41 +68,41 @@
     }
   }
 
-  void checkAnswer(const Answer& answer) {
+  void checkAttempt(const AttemptResult& answer) {
     switch (answer.kind) {
-    case AnswerKind::Completed:
-      ++verdict_.counts.completed;
+    case AttemptOutcome::Completed:
+      ++report_.counts.completed;
       if (!answer.key.empty()) {
         answers_by_key_[answer.key].insert(answer.body);
       }
       break;
-    case AnswerKind::NotRun:
-      ++verdict_.counts.not_run;
+    case AttemptOutcome::NotRun:
+      ++report_.counts.not_run;
       checkRefusal(answer);
       break;
-    case AnswerKind::Unknown:
-      ++verdict_.counts.unknown;
+    case AttemptOutcome::Unknown:
+      ++report_.counts.unknown;
       break;
-    case AnswerKind::Lost:
-      ++verdict_.counts.lost;
+    case AttemptOutcome::Lost:
+      ++report_.counts.lost;
       break;
-    case AnswerKind::Rejected:
+    case AttemptOutcome::Rejected:
       fail("request " + answer.id + " was rejected: " + answer.body);
     }
   }
 
-  void checkRefusal(const Answer& answer) {
+  void checkRefusal(const AttemptResult& answer) {
     if (runs_.ids.contains(answer.id)) {
       fail("request " + answer.id + " was answered not-run and ran");
     }
     if (!answer.has_retry_after) {
       fail("refusal of " + answer.id + " has no Retry-After: " + answer.body);
     }
-    verdict_.counts.slowest_refusal_ms =
-        std::max<uint64_t>(verdict_.counts.slowest_refusal_ms,
-                           static_cast<uint64_t>(std::max<int64_t>(answer.took_ms, 0)));
-    if (answer.took_ms > kMostRefusalMs) {
-      fail("refusal of " + answer.id + " took " + std::to_string(answer.took_ms) + " ms");
+    report_.counts.slowest_refusal_ms =
+        std::max<uint64_t>(report_.counts.slowest_refusal_ms,
+                           static_cast<uint64_t>(std::max<int64_t>(answer.duration_ms, 0)));
+    if (answer.duration_ms > kMaxRefusalMs) {
+      fail("refusal of " + answer.id + " took " + std::to_string(answer.duration_ms) + " ms");
     }
   }
 
@@ -122,20 +122,20 @@
     }
   }
 
-  void checkConversation(const Conversation& conversation) {
-    ++verdict_.counts.conversations;
-    if (conversation.out_of_place != 0) {
-      fail("chat " + conversation.id + " got events twice, out of order or of another request");
+  void checkChatTurn(const ChatTurn& chat_turn) {
+    ++report_.counts.chat_turns;
+    if (chat_turn.misplaced_events != 0) {
+      fail("chat " + chat_turn.id + " got events twice, out of order or of another request");
     }
-    if (conversation.complete && conversation.text != conversation.expected_text) {
-      fail("chat " + conversation.id + " got another text than its own");
+    if (chat_turn.complete && chat_turn.text != chat_turn.expected_text) {
+      fail("chat " + chat_turn.id + " got another text than its own");
     }
-    if (!conversation.complete) {
-      fail("chat " + conversation.id + " never got its whole answer");
+    if (!chat_turn.complete) {
+      fail("chat " + chat_turn.id + " never got its whole answer");
     }
   }
 
-  static int64_t millisecondsOf(const std::string& timestamp) {
+  static int64_t parseTimestampMs(const std::string& timestamp) {
     std::tm parts{};
     const char* rest = ::strptime(timestamp.c_str(), "%Y-%m-%dT%H:%M:%S", &parts);
     if (rest == nullptr) {
@@ -148,7 +148,7 @@
 
   void checkLog(const std::string& path) {
     std::ifstream in(path);
-    uint64_t in_force = 0;
+    uint64_t active_revision = 0;
     for (std::string line; std::getline(in, line);) {
       const json event = json::parse(line, nullptr, false);
       if (!event.is_object()) {
@@ -160,13 +160,13 @@
       const std::string name = event.value("event", "");
       if (name == "started") {
         // A process that starts has nothing in force.
-        in_force = 0;
+        active_revision = 0;
       } else if (name == "configuration_in_force") {
         const uint64_t revision = event.value("revision", uint64_t{0});
-        if (revision < in_force) {
-          fail(path + ": revision went back from " + std::to_string(in_force));
+        if (revision < active_revision) {
+          fail(path + ": revision went back from " + std::to_string(active_revision));
         }
-        in_force = revision;
+        active_revision = revision;
       } else if (name == "routing_decision") {
         checkDecision(path, event);
       }
@@ -174,12 +174,12 @@
   }
 
   void checkDecision(const std::string& path, const json& event) {
-    ++verdict_.counts.decisions;
+    ++report_.counts.decisions;
     const uint64_t revision = event.value("revision", uint64_t{0});
     const int64_t started =
-        millisecondsOf(event.value("time", "")) - event.value("duration_us", int64_t{0}) / 1000;
-    for (const AcceptedChange& change : evidence_.accepted) {
-      if (started > change.at_ms + kInForceMs && revision < change.revision) {
+        parseTimestampMs(event.value("time", "")) - event.value("duration_us", int64_t{0}) / 1000;
+    for (const AcceptedChange& change : inputs_.accepted) {
+      if (started > change.at_ms + kActivationDeadlineMs && revision < change.revision) {
         fail(path + ": served under revision " + std::to_string(revision) + " after " +
              std::to_string(change.revision) + " was accepted");
         return;
@@ -187,14 +187,16 @@
     }
   }
 
-  const Evidence& evidence_;
-  Verdict verdict_;
-  RunCounts runs_;
+  const InvariantInputs& inputs_;
+  InvariantReport report_;
+  RecordedRuns runs_;
   std::map<std::string, std::set<std::string>> answers_by_key_;
 };
 
 } // namespace
 
-Verdict checkInvariants(const Evidence& evidence) { return Checker(evidence).check(); }
+InvariantReport checkInvariants(const InvariantInputs& inputs) {
+  return InvariantChecker(inputs).check();
+}
 
 } // namespace workshatch::scenario
--- a/src/scenario/invariants.h
+++ b/src/scenario/invariants.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "scenario/callers.h"
+#include "scenario/load_generator.h"
 
 namespace workshatch::scenario {
 
@@ -17,8 +17,8 @@
   int64_t at_ms = 0;
 };
 
-struct Evidence {
-  std::vector<const CallerLoad*> loads;
+struct InvariantInputs {
+  std::vector<const LoadGenerator*> loads;
   /// Files in which the back ends noted their runs.
   std::vector<std::string> run_logs;
   /// Logs of the daemons.
@@ -27,23 +27,23 @@
 };
 
 /// What was counted, for the scenario's closing line.
-struct Counts {
+struct ScenarioCounts {
   uint64_t runs = 0;
   uint64_t completed = 0;
   uint64_t not_run = 0;
   uint64_t unknown = 0;
   uint64_t lost = 0;
-  uint64_t conversations = 0;
+  uint64_t chat_turns = 0;
   uint64_t decisions = 0;
   uint64_t slowest_refusal_ms = 0;
 };
 
-struct Verdict {
+struct InvariantReport {
   /// Empty: all invariants hold.
   std::vector<std::string> violations;
-  Counts counts;
+  ScenarioCounts counts;
 };
 
-Verdict checkInvariants(const Evidence& evidence);
+InvariantReport checkInvariants(const InvariantInputs& inputs);
 
 } // namespace workshatch::scenario
--- a/src/scenario/load_sampler.cc
+++ b/src/scenario/load_cap_sampler.cc
@@ -1,4 +1,4 @@
-#include "scenario/load_sampler.h"
+#include "scenario/load_cap_sampler.h"
 
 #include <algorithm>
 #include <chrono>
@@ -7,7 +7,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 
 namespace workshatch::scenario {
 
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kPeriod{100};
+constexpr std::chrono::milliseconds kSamplePeriod{100};
 /// With fewer streams than this for each engine, rounding decides the ratio; it is not recorded.
-constexpr double kLeastMeanForRatio = 2;
+constexpr double kMinMeanForRatio = 2;
 
-constexpr size_t kRecentMeans = 10;
+constexpr size_t kRecentSamples = 10;
 
 uint64_t capOf(double factor, double mean) {
   return std::max<uint64_t>(1, static_cast<uint64_t>(std::ceil(factor * mean)));
@@ -27,30 +27,30 @@
 
 } // namespace
 
-LoadSampler::LoadSampler(std::vector<std::string> runners, double factor)
+LoadCapSampler::LoadCapSampler(std::vector<std::string> runners, double factor)
     : runners_(std::move(runners)), factor_(factor), thread_([this] { run(); }) {}
 
-LoadSampler::~LoadSampler() {
+LoadCapSampler::~LoadCapSampler() {
   stopping_ = true;
   thread_.join();
 }
 
-CapReport LoadSampler::report() const {
+CapReport LoadCapSampler::report() const {
   const std::lock_guard lock(mutex_);
   return report_;
 }
 
-void LoadSampler::run() {
+void LoadCapSampler::run() {
   while (!stopping_) {
     sample();
-    std::this_thread::sleep_for(kPeriod);
+    std::this_thread::sleep_for(kSamplePeriod);
   }
 }
 
-void LoadSampler::sample() {
+void LoadCapSampler::sample() {
   std::vector<uint64_t> loads;
   for (const std::string& runner : runners_) {
-    const auto body = http::simpleGet(runner, "/v1/load");
+    const auto body = http::blockingGet(runner, "/v1/load");
     const std::lock_guard lock(mutex_);
     if (isError(body) || leaving_.contains(runner)) {
       continue;
@@ -61,34 +61,36 @@
     }
   }
   uint64_t total = 0;
-  uint64_t most = 0;
+  uint64_t max_load = 0;
   for (const uint64_t load : loads) {
     total += load;
-    most = std::max(most, load);
+    max_load = std::max(max_load, load);
   }
   if (total == 0) {
     return;
   }
   const double mean = static_cast<double>(total) / static_cast<double>(loads.size());
   means_.push_back(mean);
-  if (means_.size() > kRecentMeans) {
+  if (means_.size() > kRecentSamples) {
     means_.pop_front();
   }
-  const double recent = *std::max_element(means_.begin(), means_.end());
+  const double recent_max_mean = *std::max_element(means_.begin(), means_.end());
   const std::lock_guard lock(mutex_);
   ++report_.samples;
-  report_.over += most > capOf(factor_, mean) ? 1 : 0;
-  if (most > capOf(factor_, recent)) {
-    ++report_.over_recent;
-    report_.last_over = "sample " + std::to_string(report_.samples) + ": " + json(loads).dump() +
-                        ", mean " + std::to_string(mean) + ", recent " + std::to_string(recent);
+  report_.over_current_cap += max_load > capOf(factor_, mean) ? 1 : 0;
+  if (max_load > capOf(factor_, recent_max_mean)) {
+    ++report_.over_recent_cap;
+    report_.last_over_cap = "sample " + std::to_string(report_.samples) + ": " +
+                            json(loads).dump() + ", mean " + std::to_string(mean) + ", recent " +
+                            std::to_string(recent_max_mean);
   }
-  if (mean >= kLeastMeanForRatio) {
-    report_.worst_ratio = std::max(report_.worst_ratio, static_cast<double>(most) / recent);
+  if (mean >= kMinMeanForRatio) {
+    report_.max_ratio =
+        std::max(report_.max_ratio, static_cast<double>(max_load) / recent_max_mean);
   }
 }
 
-void LoadSampler::setLeaving(const std::string& runner, bool leaving) {
+void LoadCapSampler::setLeaving(const std::string& runner, bool leaving) {
   const std::lock_guard lock(mutex_);
   if (leaving) {
     leaving_.insert(runner);
--- a/src/scenario/load_sampler.h
+++ b/src/scenario/load_cap_sampler.h
@@ -16,21 +16,21 @@
 struct CapReport {
   uint64_t samples = 0;
   /// Samples in which an engine was over max(1, ceil(factor * mean)).
-  uint64_t over = 0;
+  uint64_t over_current_cap = 0;
   /// The same against the highest mean of the last second: work that was admitted under a higher
   /// mean is not taken away when the mean falls.
-  uint64_t over_recent = 0;
-  double worst_ratio = 0;
+  uint64_t over_recent_cap = 0;
+  double max_ratio = 0;
   /// Loads of the engines in the last sample that was over, and the means.
-  std::string last_over;
+  std::string last_over_cap;
 };
 
 /// Samples from a thread of its own until it is destroyed.
-class LoadSampler {
+class LoadCapSampler {
 public:
   /// @param runners addresses of model runners; those that don't answer are left out of a sample.
-  LoadSampler(std::vector<std::string> runners, double factor);
-  ~LoadSampler();
+  LoadCapSampler(std::vector<std::string> runners, double factor);
+  ~LoadCapSampler();
 
   /// A runner that is leaving counts neither as an engine nor in the mean.
   void setLeaving(const std::string& runner, bool leaving);
--- a/src/scenario/callers.cc
+++ b/src/scenario/load_generator.cc
@@ -1,4 +1,4 @@
-#include "scenario/callers.h"
+#include "scenario/load_generator.h"
 
 #include <charconv>
 #include <chrono>
@@ -24,19 +24,19 @@
 
 constexpr std::chrono::milliseconds kConnectTimeout{500};
 /// A caller that hears nothing for so long goes to another address.
-constexpr std::chrono::milliseconds kAnswerTimeout{6000};
-constexpr int64_t kLostPauseMs = 50;
+constexpr std::chrono::milliseconds kReadTimeout{6000};
+constexpr int64_t kPauseAfterLossMs = 50;
 /// Callers in tests come back a little sooner than they are told, to send more.
-constexpr int64_t kMostPauseMs = 300;
-constexpr size_t kMostBodyBytes = 1U << 20U;
-const std::string kSharedRules(1600, 'r');
+constexpr int64_t kMaxPauseMs = 300;
+constexpr size_t kMaxBodyBytes = 1U << 20U;
+const std::string kSharedPromptPrefix(1600, 'r');
 
 int64_t nowMs() { return SystemClock().monotonicMs(); }
 
 http::CallOptions callOptions(const LoadPlan& plan) {
   http::CallOptions options;
   options.connect_timeout = kConnectTimeout;
-  options.read_timeout = kAnswerTimeout;
+  options.read_timeout = kReadTimeout;
   options.fresh_connection = !plan.keep_connections;
   return options;
 }
@@ -52,13 +52,13 @@
 
 } // namespace
 
-CallerLoad::CallerLoad(LoadPlan plan, std::vector<std::string> routers, uint64_t seed)
+LoadGenerator::LoadGenerator(LoadPlan plan, std::vector<std::string> routers, uint64_t seed)
     : plan_(std::move(plan)), routers_(std::move(routers)), client_(worker_.context(0)),
       random_(seed) {}
 
-CallerLoad::~CallerLoad() { worker_.stop(); }
+LoadGenerator::~LoadGenerator() { worker_.stop(); }
 
-void CallerLoad::start() {
+void LoadGenerator::start() {
   running_ = plan_.concurrency;
   for (uint32_t caller = 0; caller < plan_.concurrency; ++caller) {
     asio::co_spawn(worker_.context(0), runCaller(), asio::detached);
@@ -66,51 +66,51 @@
   worker_.start();
 }
 
-size_t CallerLoad::answerCount() const {
+size_t LoadGenerator::attemptCount() const {
   const std::lock_guard lock(mutex_);
-  return answers_.size();
+  return attempts_.size();
 }
 
-size_t CallerLoad::countOf(AnswerKind kind) const {
+size_t LoadGenerator::countOf(AttemptOutcome kind) const {
   const std::lock_guard lock(mutex_);
   size_t count = 0;
-  for (const Answer& answer : answers_) {
+  for (const AttemptResult& answer : attempts_) {
     count += answer.kind == kind ? 1 : 0;
   }
   return count;
 }
 
-std::vector<Answer> CallerLoad::answers() const {
+std::vector<AttemptResult> LoadGenerator::attempts() const {
   const std::lock_guard lock(mutex_);
-  return answers_;
+  return attempts_;
 }
 
-std::vector<Conversation> CallerLoad::conversations() const {
+std::vector<ChatTurn> LoadGenerator::chatTurns() const {
   const std::lock_guard lock(mutex_);
-  return conversations_;
+  return chat_turns_;
 }
 
-void CallerLoad::record(Answer answer) {
+void LoadGenerator::record(AttemptResult answer) {
   answer.tenant = plan_.tenant;
   answer.ended_at_ms = SystemClock().wallMs();
   const std::lock_guard lock(mutex_);
-  answers_.push_back(std::move(answer));
+  attempts_.push_back(std::move(answer));
 }
 
-std::string CallerLoad::describe(const http::CallError& error) {
+std::string LoadGenerator::describe(const http::CallError& error) {
   const std::string phase = error.phase == http::CallPhase::NotSent ? "not sent" : "sent";
   return phase + (error.timed_out ? ", timed out: " : ": ") + error.message;
 }
 
-std::string CallerLoad::newId() { return plan_.name + "-" + std::to_string(next_id_++); }
+std::string LoadGenerator::newId() { return plan_.name + "-" + std::to_string(next_id_++); }
 
-asio::awaitable<void> CallerLoad::pauseFor(int64_t milliseconds) {
+asio::awaitable<void> LoadGenerator::pauseFor(int64_t milliseconds) {
   asio::steady_timer timer(co_await asio::this_coro::executor);
   timer.expires_after(std::chrono::milliseconds(milliseconds));
   co_await timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<void> CallerLoad::runCaller() {
+asio::awaitable<void> LoadGenerator::runCaller() {
   const uint32_t jobs = plan_.kind == "confirm" ? plan_.count * plan_.repeat : plan_.count;
   while (next_job_ < jobs) {
     const uint32_t job = next_job_++;
@@ -122,68 +122,68 @@
   --running_;
 }
 
-asio::awaitable<void> CallerLoad::runJob(uint32_t job) {
+asio::awaitable<void> LoadGenerator::runJob(uint32_t job) {
   const std::string number = std::to_string(plan_.kind == "confirm" ? job / plan_.repeat : job);
   if (plan_.kind == "confirm") {
-    co_await confirm(plan_.name + "-key-" + number);
+    co_await runConfirmation(plan_.name + "-key-" + number);
   } else if (plan_.kind == "chat") {
-    co_await chatSession(plan_.name + "-session-" + number);
+    co_await runChatSession(plan_.name + "-session-" + number);
   } else {
-    co_await lookup(number);
+    co_await runLookup(number);
   }
 }
 
-void CallerLoad::classify(Answer& answer, http::ClientAnswer& response) {
+void LoadGenerator::classify(AttemptResult& answer, http::ClientResponse& response) {
   answer.status = static_cast<unsigned>(response.status());
   answer.has_retry_after = response.header("Retry-After").has_value();
   const std::string execution = response.header("X-Execution").value_or("completed");
   if (execution == "not-run") {
-    answer.kind =
-        answer.status >= 500 || answer.status == 429 ? AnswerKind::NotRun : AnswerKind::Rejected;
+    answer.kind = answer.status >= 500 || answer.status == 429 ? AttemptOutcome::NotRun
+                                                               : AttemptOutcome::Rejected;
   } else {
-    answer.kind = execution == "unknown" ? AnswerKind::Unknown : AnswerKind::Completed;
+    answer.kind = execution == "unknown" ? AttemptOutcome::Unknown : AttemptOutcome::Completed;
   }
 }
 
-asio::awaitable<std::string> CallerLoad::chooseAddress(const std::string& service,
-                                                       const std::string& session,
-                                                       uint32_t attempt) {
+asio::awaitable<std::string> LoadGenerator::chooseAddress(const std::string& service,
+                                                          const std::string& session,
+                                                          uint32_t attempt) {
   // Any router answers which addresses to use; a caller that failed goes on to the next.
-  std::string asked;
-  for (size_t question = 0; question < 2 * routers_.size(); ++question) {
-    asked = routers_[random_.below(routers_.size())];
+  std::string router;
+  for (size_t query = 0; query < 2 * routers_.size(); ++query) {
+    router = routers_[random_.below(routers_.size())];
     http::Request request(
         http::Verb::get,
         "/v1/endpoints?service=" + service + "&session=" + session + "&tenant=" + plan_.tenant, 11);
     const http::CallOptions options = callOptions(plan_);
-    http::CallResult result = co_await client_.call(asked, std::move(request), options);
-    auto* answer = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result);
+    http::CallResult result = co_await client_.call(router, std::move(request), options);
+    auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
     if (answer == nullptr) {
       continue;
     }
-    auto body = co_await (*answer)->readAll(kMostBodyBytes);
+    auto body = co_await (*answer)->readAll(kMaxBodyBytes);
     if (const auto* text = std::get_if<std::string>(&body)) {
       const json list = json::parse(*text, nullptr, false).value("endpoints", json::array());
       if (!list.empty()) {
-        co_return list[attempt % list.size()].value("address", asked);
+        co_return list[attempt % list.size()].value("address", router);
       }
     }
   }
-  co_return asked;
+  co_return router;
 }
 
-asio::awaitable<void> CallerLoad::pauseAfter(const Answer& answer) {
-  int64_t pause = kLostPauseMs;
-  if (answer.kind == AnswerKind::NotRun || answer.kind == AnswerKind::Unknown) {
+asio::awaitable<void> LoadGenerator::pauseAfter(const AttemptResult& answer) {
+  int64_t pause = kPauseAfterLossMs;
+  if (answer.kind == AttemptOutcome::NotRun || answer.kind == AttemptOutcome::Unknown) {
     const json body = json::parse(answer.body, nullptr, false);
-    pause = body.is_object() ? body.value("retry_after_ms", kMostPauseMs) : kMostPauseMs;
+    pause = body.is_object() ? body.value("retry_after_ms", kMaxPauseMs) : kMaxPauseMs;
   }
-  co_await pauseFor(std::min(pause, kMostPauseMs));
+  co_await pauseFor(std::min(pause, kMaxPauseMs));
 }
 
-asio::awaitable<Answer> CallerLoad::tryPlain(http::Request request, std::string key,
-                                             std::string address, std::string id) {
-  Answer answer;
+asio::awaitable<AttemptResult> LoadGenerator::attemptPlain(http::Request request, std::string key,
+                                                           std::string address, std::string id) {
+  AttemptResult answer;
   answer.id = std::move(id);
   answer.key = std::move(key);
   answer.address = address;
@@ -192,24 +192,24 @@
   const int64_t started = nowMs();
   const http::CallOptions options = callOptions(plan_);
   http::CallResult result = co_await client_.call(address, std::move(request), options);
-  if (auto* response = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result)) {
-    auto body = co_await (*response)->readAll(kMostBodyBytes);
+  if (auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
+    auto body = co_await (*response)->readAll(kMaxBodyBytes);
     if (auto* text = std::get_if<std::string>(&body)) {
       answer.body = std::move(*text);
       classify(answer, **response);
     } else {
-      answer.loss = describe(std::get<http::CallError>(body));
+      answer.loss_reason = describe(std::get<http::CallError>(body));
     }
   } else {
-    answer.loss = describe(std::get<http::CallError>(result));
+    answer.loss_reason = describe(std::get<http::CallError>(result));
   }
-  answer.took_ms = nowMs() - started;
+  answer.duration_ms = nowMs() - started;
   record(answer);
   co_return answer;
 }
 
-asio::awaitable<void> CallerLoad::confirm(std::string key) {
-  for (uint32_t attempt = 0; attempt < plan_.tries; ++attempt) {
+asio::awaitable<void> LoadGenerator::runConfirmation(std::string key) {
+  for (uint32_t attempt = 0; attempt < plan_.max_attempts; ++attempt) {
     http::Request request(http::Verb::post, "/v1/services/booking/confirmations", 11);
     request.set("Idempotency-Key", key);
     request.body() = "{\"pitch\":\"" + key + "\"}";
@@ -217,9 +217,9 @@
     if (plan_.resolve) {
       address = co_await chooseAddress("booking", key, attempt);
     }
-    const Answer answer = co_await tryPlain(std::move(request), key, address, newId());
-    const bool final_unknown = answer.kind == AnswerKind::Unknown && !answer.has_retry_after;
-    if (answer.kind == AnswerKind::Completed || answer.kind == AnswerKind::Rejected ||
+    const AttemptResult answer = co_await attemptPlain(std::move(request), key, address, newId());
+    const bool final_unknown = answer.kind == AttemptOutcome::Unknown && !answer.has_retry_after;
+    if (answer.kind == AttemptOutcome::Completed || answer.kind == AttemptOutcome::Rejected ||
         final_unknown) {
       co_return;
     }
@@ -227,65 +227,66 @@
   }
 }
 
-asio::awaitable<void> CallerLoad::lookup(std::string id) {
-  for (uint32_t attempt = 0; attempt < plan_.tries; ++attempt) {
+asio::awaitable<void> LoadGenerator::runLookup(std::string id) {
+  for (uint32_t attempt = 0; attempt < plan_.max_attempts; ++attempt) {
     http::Request request(http::Verb::get, "/v1/services/booking/lookups/" + id, 11);
     const std::string address = co_await chooseAddress("booking", "", attempt);
-    const Answer answer = co_await tryPlain(std::move(request), "", address, newId());
-    if (answer.kind == AnswerKind::Completed || answer.kind == AnswerKind::Rejected) {
+    const AttemptResult answer = co_await attemptPlain(std::move(request), "", address, newId());
+    if (answer.kind == AttemptOutcome::Completed || answer.kind == AttemptOutcome::Rejected) {
       co_return;
     }
     co_await pauseAfter(answer);
   }
 }
 
-asio::awaitable<void> CallerLoad::chatSession(std::string session) {
+asio::awaitable<void> LoadGenerator::runChatSession(std::string session) {
   json messages = json::array();
-  messages.push_back({{"role", "system"}, {"content", kSharedRules}});
+  messages.push_back({{"role", "system"}, {"content", kSharedPromptPrefix}});
   for (uint32_t turn = 0; turn < plan_.repeat; ++turn) {
     messages.push_back(
         {{"role", "user"}, {"content", session + " asks question " + std::to_string(turn)}});
-    const std::string text = co_await chatTurn(session, messages.dump());
+    const std::string text = co_await runChatTurn(session, messages.dump());
     messages.push_back({{"role", "assistant"}, {"content", text}});
   }
 }
 
-asio::awaitable<std::string> CallerLoad::chatTurn(std::string session, std::string messages) {
-  Conversation conversation;
+asio::awaitable<std::string> LoadGenerator::runChatTurn(std::string session, std::string messages) {
+  ChatTurn chat_turn;
   json body = {{"model", "assistant"}, {"stream", true}, {"max_tokens", plan_.tokens}};
   body["messages"] = json::parse(messages);
   const std::string prompt = standin::promptOf(body);
   for (uint32_t token = 1; token <= plan_.tokens; ++token) {
-    conversation.expected_text += standin::tokenOf(prompt, token);
+    chat_turn.expected_text += standin::tokenOf(prompt, token);
   }
   const std::string text = body.dump();
   std::string last_event;
   std::string id = newId();
-  for (uint32_t attempt = 0; attempt < plan_.tries && !conversation.complete; ++attempt) {
+  for (uint32_t attempt = 0; attempt < plan_.max_attempts && !chat_turn.complete; ++attempt) {
     const std::string address = co_await chooseAddress("assistant", session, attempt);
-    const Answer answer = co_await tryChat(session, text, conversation, last_event, address, id);
-    if (answer.kind == AnswerKind::Rejected) {
+    const AttemptResult answer =
+        co_await attemptChat(session, text, chat_turn, last_event, address, id);
+    if (answer.kind == AttemptOutcome::Rejected) {
       break;
     }
-    if (!conversation.complete) {
+    if (!chat_turn.complete) {
       co_await pauseAfter(answer);
       // A resumed stream keeps its request's id; a new try has its own.
       id = last_event.empty() ? newId() : id;
     }
   }
-  conversation.id = id;
-  const std::string answer_text = conversation.text;
+  chat_turn.id = id;
+  const std::string answer_text = chat_turn.text;
   {
     const std::lock_guard lock(mutex_);
-    conversations_.push_back(std::move(conversation));
+    chat_turns_.push_back(std::move(chat_turn));
   }
   co_return answer_text;
 }
 
-asio::awaitable<Answer> CallerLoad::tryChat(const std::string& session, const std::string& body,
-                                            Conversation& conversation, std::string& last_event,
-                                            std::string address, std::string id) {
-  Answer answer;
+asio::awaitable<AttemptResult>
+LoadGenerator::attemptChat(const std::string& session, const std::string& body, ChatTurn& chat_turn,
+                           std::string& last_event, std::string address, std::string id) {
+  AttemptResult answer;
   answer.id = std::move(id);
   http::Request request(http::Verb::post, "/v1/chat/completions", 11);
   answer.address = address;
@@ -299,30 +300,30 @@
   const int64_t started = nowMs();
   const http::CallOptions options = callOptions(plan_);
   http::CallResult result = co_await client_.call(address, std::move(request), options);
-  auto* response = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result);
+  auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
   if (response == nullptr) {
-    answer.loss = describe(std::get<http::CallError>(result));
-    answer.took_ms = nowMs() - started;
+    answer.loss_reason = describe(std::get<http::CallError>(result));
+    answer.duration_ms = nowMs() - started;
     record(answer);
     co_return answer;
   }
   if ((*response)->status() != http::Status::ok) {
-    auto text = co_await (*response)->readAll(kMostBodyBytes);
+    auto text = co_await (*response)->readAll(kMaxBodyBytes);
     if (auto* problem = std::get_if<std::string>(&text)) {
       answer.body = std::move(*problem);
       classify(answer, **response);
     }
-    answer.took_ms = nowMs() - started;
+    answer.duration_ms = nowMs() - started;
     record(answer);
     co_return answer;
   }
   http::EventStreamParser parser;
-  while (!conversation.complete) {
+  while (!chat_turn.complete) {
     auto part = co_await (*response)->read();
     const auto* bytes = std::get_if<std::string>(&part);
     if (bytes == nullptr || bytes->empty()) {
-      answer.loss = bytes == nullptr ? describe(std::get<http::CallError>(part))
-                                     : "the stream ended after event " + last_event;
+      answer.loss_reason = bytes == nullptr ? describe(std::get<http::CallError>(part))
+                                            : "the stream ended after event " + last_event;
       break;
     }
     parser.feed(*bytes);
@@ -331,28 +332,28 @@
         answer.first_event_ms = nowMs() - started;
       }
       const uint64_t expected = eventNumber(last_event) + 1;
-      conversation.out_of_place += eventNumber(event->id) != expected ? 1 : 0;
+      chat_turn.misplaced_events += eventNumber(event->id) != expected ? 1 : 0;
       last_event = event->id;
       if (event->data == http::kDoneData) {
-        conversation.complete = true;
-        answer.kind = AnswerKind::Completed;
+        chat_turn.complete = true;
+        answer.kind = AttemptOutcome::Completed;
         break;
       }
       const json data = json::parse(event->data, nullptr, false);
       if (!data.is_object() || data.value("id", "") != answer.id) {
-        ++conversation.out_of_place;
+        ++chat_turn.misplaced_events;
         continue;
       }
       for (const json& choice : data.value("choices", json::array())) {
-        conversation.text += choice.at("delta").value("content", "");
+        chat_turn.text += choice.at("delta").value("content", "");
       }
       if (data.contains("usage")) {
-        conversation.prompt_tokens = data["usage"].value("prompt_tokens", uint64_t{0});
-        conversation.cached_tokens = data["usage"].value("cached_tokens", uint64_t{0});
+        chat_turn.prompt_tokens = data["usage"].value("prompt_tokens", uint64_t{0});
+        chat_turn.cached_tokens = data["usage"].value("cached_tokens", uint64_t{0});
       }
     }
   }
-  answer.took_ms = nowMs() - started;
+  answer.duration_ms = nowMs() - started;
   record(answer);
   co_return answer;
 }
--- a/src/scenario/callers.h
+++ b/src/scenario/load_generator.h
@@ -14,7 +14,7 @@
 
 namespace workshatch::scenario {
 
-enum class AnswerKind {
+enum class AttemptOutcome {
   Completed,
   NotRun,
   Unknown,
@@ -25,16 +25,16 @@
 };
 
 /// One try of a request, with an id of its own.
-struct Answer {
+struct AttemptResult {
   std::string id;
   /// Key of a request that may not be repeated; empty: repeatable.
   std::string key;
-  AnswerKind kind = AnswerKind::Lost;
+  AttemptOutcome kind = AttemptOutcome::Lost;
   unsigned status = 0;
   std::string body;
   bool has_retry_after = false;
   /// Milliseconds until the answer.
-  int64_t took_ms = 0;
+  int64_t duration_ms = 0;
   int64_t first_event_ms = 0;
   std::string tenant;
   /// The router that was asked.
@@ -42,16 +42,16 @@
   /// When the answer came or was lost, milliseconds since the epoch.
   uint64_t ended_at_ms = 0;
   /// How a lost answer was lost.
-  std::string loss;
+  std::string loss_reason;
 };
 
 /// A chat that was asked for, whatever tries it took.
-struct Conversation {
+struct ChatTurn {
   std::string id;
   std::string expected_text;
   std::string text;
   /// Events that came twice or did not fit.
-  uint64_t out_of_place = 0;
+  uint64_t misplaced_events = 0;
   bool complete = false;
   uint64_t prompt_tokens = 0;
   uint64_t cached_tokens = 0;
@@ -69,7 +69,7 @@
   uint32_t concurrency = 8;
   uint32_t tokens = 16;
   /// Tries of one request after refusals and lost answers.
-  uint32_t tries = 60;
+  uint32_t max_attempts = 60;
   /// Confirm: asks which address to use; false: sends through every router.
   bool resolve = false;
   /// Pause of each caller between requests, milliseconds.
@@ -79,17 +79,17 @@
 };
 
 /// Runs one load on a worker of its own loop. Results may be read while it runs.
-class CallerLoad {
+class LoadGenerator {
 public:
-  CallerLoad(LoadPlan plan, std::vector<std::string> routers, uint64_t seed);
-  ~CallerLoad();
+  LoadGenerator(LoadPlan plan, std::vector<std::string> routers, uint64_t seed);
+  ~LoadGenerator();
 
   void start();
   bool finished() const { return running_.load() == 0; }
-  size_t answerCount() const;
-  size_t countOf(AnswerKind kind) const;
-  std::vector<Answer> answers() const;
-  std::vector<Conversation> conversations() const;
+  size_t attemptCount() const;
+  size_t countOf(AttemptOutcome kind) const;
+  std::vector<AttemptResult> attempts() const;
+  std::vector<ChatTurn> chatTurns() const;
   const LoadPlan& plan() const { return plan_; }
 
 private:
@@ -97,23 +97,23 @@
 
   awaitable<void> runCaller();
   awaitable<void> runJob(uint32_t job);
-  awaitable<void> confirm(std::string key);
-  awaitable<void> lookup(std::string id);
-  awaitable<void> chatSession(std::string session);
-  awaitable<std::string> chatTurn(std::string session, std::string messages);
-  awaitable<Answer> tryChat(const std::string& session, const std::string& body,
-                            Conversation& conversation, std::string& last_event,
-                            std::string address, std::string id);
-  awaitable<Answer> tryPlain(http::Request request, std::string key, std::string address,
-                             std::string id);
+  awaitable<void> runConfirmation(std::string key);
+  awaitable<void> runLookup(std::string id);
+  awaitable<void> runChatSession(std::string session);
+  awaitable<std::string> runChatTurn(std::string session, std::string messages);
+  awaitable<AttemptResult> attemptChat(const std::string& session, const std::string& body,
+                                       ChatTurn& chat_turn, std::string& last_event,
+                                       std::string address, std::string id);
+  awaitable<AttemptResult> attemptPlain(http::Request request, std::string key, std::string address,
+                                        std::string id);
   awaitable<std::string> chooseAddress(const std::string& service, const std::string& session,
                                        uint32_t attempt);
   awaitable<void> pauseFor(int64_t milliseconds);
-  awaitable<void> pauseAfter(const Answer& answer);
+  awaitable<void> pauseAfter(const AttemptResult& answer);
   std::string newId();
-  void record(Answer answer);
+  void record(AttemptResult answer);
   static std::string describe(const http::CallError& error);
-  void classify(Answer& answer, http::ClientAnswer& response);
+  void classify(AttemptResult& answer, http::ClientResponse& response);
 
   const LoadPlan plan_;
   const std::vector<std::string> routers_;
@@ -126,9 +126,9 @@
 
   mutable std::mutex mutex_;
   /// Guarded by mutex_.
-  std::vector<Answer> answers_;
+  std::vector<AttemptResult> attempts_;
   /// Guarded by mutex_.
-  std::vector<Conversation> conversations_;
+  std::vector<ChatTurn> chat_turns_;
 };
 
 } // namespace workshatch::scenario
--- a/src/scenario/log_copier.cc
+++ b/src/scenario/log_copier.cc
@@ -13,16 +13,16 @@
 
 void copy(int pipe, const std::string& path) {
   std::ofstream log(path, std::ios::app | std::ios::binary);
-  std::array<char, kReadBytes> part{};
+  std::array<char, kReadBytes> buffer{};
   while (true) {
-    const ssize_t count = ::read(pipe, part.data(), part.size());
+    const ssize_t count = ::read(pipe, buffer.data(), buffer.size());
     if (count < 0 && errno == EINTR) {
       continue;
     }
     if (count <= 0) {
       break;
     }
-    log.write(part.data(), count);
+    log.write(buffer.data(), count);
     log.flush();
   }
   ::close(pipe);
--- a/src/scenario/main.cc
+++ b/src/scenario/main.cc
@@ -64,7 +64,7 @@
   const scenario::RunOptions options{.programs = FLAGS_programs,
                                      .folder = FLAGS_folder,
                                      .seed = seed,
-                                     .without_ledger = FLAGS_without == "ledger"};
+                                     .all_routes_repeatable = FLAGS_without == "ledger"};
   const auto started = std::chrono::steady_clock::now();
   scenario::ScenarioRun run(script, options);
   const scenario::ScenarioResult result = run.run();
--- a/src/scenario/relay.cc
+++ b/src/scenario/network_proxy.cc
@@ -1,4 +1,4 @@
-#include "scenario/relay.h"
+#include "scenario/network_proxy.h"
 
 #include <chrono>
 #include <utility>
@@ -22,18 +22,18 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kBufferBytes = size_t{16} * 1024;
-constexpr std::chrono::milliseconds kCutPoll{5};
+constexpr std::chrono::milliseconds kCutPollInterval{5};
 
 /// Copies one direction of a connection; holds what it read while the direction is cut.
 asio::awaitable<void> copy(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to,
-                           std::shared_ptr<CutState> cuts, bool forward) {
+                           std::shared_ptr<LinkCuts> cuts, bool forward) {
   std::string buffer(kBufferBytes, '\0');
   asio::steady_timer timer(from->get_executor());
   const std::atomic<bool>& cut = forward ? cuts->forward : cuts->backward;
   while (true) {
     const auto [failure, size] = co_await from->async_read_some(asio::buffer(buffer), kAwait);
     while (cut) {
-      timer.expires_after(kCutPoll);
+      timer.expires_after(kCutPollInterval);
       co_await timer.async_wait(kAwait);
     }
     if (failure) {
@@ -52,10 +52,10 @@
 
 } // namespace
 
-TcpRelay::TcpRelay(asio::io_context& context, std::string target)
+TcpProxy::TcpProxy(asio::io_context& context, std::string target)
     : context_(context), acceptor_(context), target_(std::move(target)) {}
 
-Result<std::monostate> TcpRelay::listen(const std::string& address) {
+Result<std::monostate> TcpProxy::listen(const std::string& address) {
   const auto endpoint = http::parseEndpoint(address);
   boost::system::error_code failure;
   if (endpoint) {
@@ -73,7 +73,7 @@
   return std::monostate{};
 }
 
-asio::awaitable<void> TcpRelay::accept() {
+asio::awaitable<void> TcpProxy::accept() {
   const auto target = http::parseEndpoint(target_);
   while (acceptor_.is_open()) {
     auto inbound = std::make_shared<tcp::socket>(context_);
@@ -94,10 +94,10 @@
   }
 }
 
-UdpRelay::UdpRelay(asio::io_context& context, std::string target)
+UdpProxy::UdpProxy(asio::io_context& context, std::string target)
     : socket_(context), target_(std::move(target)), buffer_(kBufferBytes, '\0') {}
 
-Result<std::monostate> UdpRelay::listen(const std::string& address) {
+Result<std::monostate> UdpProxy::listen(const std::string& address) {
   const auto endpoint = http::parseEndpoint(address);
   boost::system::error_code failure;
   if (endpoint) {
@@ -112,7 +112,7 @@
   return std::monostate{};
 }
 
-void UdpRelay::receive() {
+void UdpProxy::receive() {
   socket_.async_receive_from(
       asio::buffer(buffer_), from_, [this](boost::system::error_code failure, size_t size) {
         if (failure == asio::error::operation_aborted) {
--- a/src/scenario/relay.h
+++ b/src/scenario/network_proxy.h
@@ -16,18 +16,18 @@
 namespace workshatch::scenario {
 
 /// Directions that are cut. Safe for concurrent use.
-struct CutState {
+struct LinkCuts {
   std::atomic<bool> forward{false};
   std::atomic<bool> backward{false};
 };
 
 /// Passes TCP connections on. What is sent during a cut waits, as in the network's buffers.
-class TcpRelay {
+class TcpProxy {
 public:
-  TcpRelay(boost::asio::io_context& context, std::string target);
+  TcpProxy(boost::asio::io_context& context, std::string target);
 
   Result<std::monostate> listen(const std::string& address);
-  CutState& cuts() { return *cuts_; }
+  LinkCuts& cuts() { return *cuts_; }
 
 private:
   boost::asio::awaitable<void> accept();
@@ -35,17 +35,17 @@
   boost::asio::io_context& context_;
   boost::asio::ip::tcp::acceptor acceptor_;
   const std::string target_;
-  std::shared_ptr<CutState> cuts_ = std::make_shared<CutState>();
+  std::shared_ptr<LinkCuts> cuts_ = std::make_shared<LinkCuts>();
 };
 
 /// Passes datagrams on, forward only: each router sends to the other's own address. What is sent
 /// during a cut is lost.
-class UdpRelay {
+class UdpProxy {
 public:
-  UdpRelay(boost::asio::io_context& context, std::string target);
+  UdpProxy(boost::asio::io_context& context, std::string target);
 
   Result<std::monostate> listen(const std::string& address);
-  CutState& cuts() { return cuts_; }
+  LinkCuts& cuts() { return cuts_; }
 
 private:
   void receive();
@@ -54,7 +54,7 @@
   const std::string target_;
   boost::asio::ip::udp::endpoint from_;
   std::string buffer_;
-  CutState cuts_;
+  LinkCuts cuts_;
 };
 
 } // namespace workshatch::scenario
--- a/src/scenario/operator_press.cc
+++ b/src/scenario/operator_load.cc
@@ -1,4 +1,4 @@
-#include "scenario/operator_press.h"
+#include "scenario/operator_load.h"
 
 #include <chrono>
 #include <memory>
@@ -15,35 +15,35 @@
 /// Far above what an answer takes; a call that lasts as long was left waiting.
 constexpr int64_t kCallDeadlineMs = 3000;
 /// Twenty-four operators make some 750 calls a second beside other work.
-constexpr std::chrono::milliseconds kBetweenCalls{20};
+constexpr std::chrono::milliseconds kCallInterval{20};
 
 int64_t nowMs() { return SystemClock().monotonicMs(); }
 
 } // namespace
 
-OperatorPress::OperatorPress(std::vector<std::string> addresses, std::string token,
-                             uint32_t operators)
-    : addresses_(std::move(addresses)), token_(std::move(token)), answered_at_ms_(nowMs()) {
+OperatorLoad::OperatorLoad(std::vector<std::string> addresses, std::string token,
+                           uint32_t operators)
+    : addresses_(std::move(addresses)), token_(std::move(token)), last_answer_ms_(nowMs()) {
   for (uint32_t i = 0; i < operators; ++i) {
-    threads_.emplace_back([this, i] { press(i); });
+    threads_.emplace_back([this, i] { callReplicas(i); });
   }
 }
 
-OperatorPress::~OperatorPress() {
+OperatorLoad::~OperatorLoad() {
   stopped_ = true;
   for (std::thread& thread : threads_) {
     thread.join();
   }
 }
 
-PressCounts OperatorPress::counts() const {
-  return PressCounts{.answered = answered_,
-                     .turned_away = turned_away_,
-                     .left_waiting = left_waiting_,
-                     .longest_pause_ms = longest_pause_ms_};
+OperatorCallCounts OperatorLoad::counts() const {
+  return OperatorCallCounts{.answered = answered_,
+                            .refused = refused_,
+                            .timed_out_calls = timed_out_calls_,
+                            .longest_gap_ms = longest_gap_ms_};
 }
 
-void OperatorPress::press(size_t first_address) {
+void OperatorLoad::callReplicas(size_t first_address) {
   std::vector<std::unique_ptr<v1::Operator::Stub>> stubs;
   stubs.reserve(addresses_.size());
   for (const std::string& address : addresses_) {
@@ -51,27 +51,27 @@
   }
   for (size_t call = first_address; !stopped_; ++call) {
     grpc::ClientContext context;
-    rpc::prepare(context, token_, kCallDeadlineMs);
+    rpc::setKeyAndDeadline(context, token_, kCallDeadlineMs);
     v1::StatusReply reply;
     const grpc::Status status =
         stubs[call % stubs.size()]->Status(&context, v1::StatusRequest(), &reply);
     if (status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED) {
-      ++left_waiting_;
+      ++timed_out_calls_;
     } else if (status.ok() && !reply.not_leader()) {
       ++answered_;
-      noteAnswer();
+      recordAnswer();
     } else {
-      ++turned_away_;
+      ++refused_;
     }
-    std::this_thread::sleep_for(kBetweenCalls);
+    std::this_thread::sleep_for(kCallInterval);
   }
 }
 
-void OperatorPress::noteAnswer() {
+void OperatorLoad::recordAnswer() {
   const int64_t now = nowMs();
-  const int64_t pause = now - answered_at_ms_.exchange(now);
-  int64_t longest = longest_pause_ms_;
-  while (pause > longest && !longest_pause_ms_.compare_exchange_weak(longest, pause)) {
+  const int64_t pause = now - last_answer_ms_.exchange(now);
+  int64_t longest = longest_gap_ms_;
+  while (pause > longest && !longest_gap_ms_.compare_exchange_weak(longest, pause)) {
   }
 }
 
--- a/src/scenario/operator_press.h
+++ b/src/scenario/operator_load.h
@@ -11,38 +11,38 @@
 namespace workshatch::scenario {
 
 /// How the calls of the operators ended.
-struct PressCounts {
+struct OperatorCallCounts {
   uint64_t answered = 0;
   /// Told at once that another replica has to be asked, or nobody listened.
-  uint64_t turned_away = 0;
+  uint64_t refused = 0;
   /// Nobody said anything until the call's own deadline.
-  uint64_t left_waiting = 0;
+  uint64_t timed_out_calls = 0;
   /// Longest time without an answer from any replica, in milliseconds.
-  int64_t longest_pause_ms = 0;
+  int64_t longest_gap_ms = 0;
 };
 
 /// Calls go on until the end of this object, at each replica in turn, whether it leads or not.
-class OperatorPress {
+class OperatorLoad {
 public:
-  OperatorPress(std::vector<std::string> addresses, std::string token, uint32_t operators);
-  ~OperatorPress();
-  OperatorPress(const OperatorPress&) = delete;
-  OperatorPress& operator=(const OperatorPress&) = delete;
+  OperatorLoad(std::vector<std::string> addresses, std::string token, uint32_t operators);
+  ~OperatorLoad();
+  OperatorLoad(const OperatorLoad&) = delete;
+  OperatorLoad& operator=(const OperatorLoad&) = delete;
 
-  PressCounts counts() const;
+  OperatorCallCounts counts() const;
 
 private:
-  void press(size_t first_address);
-  void noteAnswer();
+  void callReplicas(size_t first_address);
+  void recordAnswer();
 
   const std::vector<std::string> addresses_;
   const std::string token_;
   std::atomic<bool> stopped_{false};
   std::atomic<uint64_t> answered_{0};
-  std::atomic<uint64_t> turned_away_{0};
-  std::atomic<uint64_t> left_waiting_{0};
-  std::atomic<int64_t> answered_at_ms_{0};
-  std::atomic<int64_t> longest_pause_ms_{0};
+  std::atomic<uint64_t> refused_{0};
+  std::atomic<uint64_t> timed_out_calls_{0};
+  std::atomic<int64_t> last_answer_ms_{0};
+  std::atomic<int64_t> longest_gap_ms_{0};
   std::vector<std::thread> threads_;
 };
 
--- a/src/scenario/process.cc
+++ b/src/scenario/process.cc
@@ -19,9 +19,9 @@
 
 namespace {
 
-constexpr int kExecFailed = 127;
+constexpr int kExecFailedExitCode = 127;
 /// Exit code of a process that a signal ended, as shells count it.
-constexpr int kSignalBase = 128;
+constexpr int kSignalExitCodeBase = 128;
 
 /// Runs in the child: nothing but system calls.
 [[noreturn]] void runChild(const std::vector<char*>& arguments, int log) {
@@ -37,7 +37,7 @@
   // would stay open after the driver has closed them.
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
   ::execv(arguments.front(), arguments.data());
-  ::_exit(kExecFailed);
+  ::_exit(kExecFailedExitCode);
 }
 
 } // namespace
@@ -56,16 +56,16 @@
     arguments.push_back(const_cast<char*>(word.c_str()));
   }
   arguments.push_back(nullptr);
-  std::array<int, 2> ends{-1, -1};
-  if (::pipe2(ends.data(), O_CLOEXEC) != 0) {
+  std::array<int, 2> pipe_ends{-1, -1};
+  if (::pipe2(pipe_ends.data(), O_CLOEXEC) != 0) {
     return Error{std::string("cannot make a pipe: ") + std::strerror(errno)};
   }
   pid_ = ::fork();
   if (pid_ == 0) {
-    runChild(arguments, ends[1]);
+    runChild(arguments, pipe_ends[1]);
   }
-  ::close(ends[1]);
-  log_ = std::make_unique<LogCopier>(ends[0], log_path_);
+  ::close(pipe_ends[1]);
+  log_ = std::make_unique<LogCopier>(pipe_ends[0], log_path_);
   if (pid_ < 0) {
     pid_ = 0;
     return Error{std::string("cannot start a process: ") + std::strerror(errno)};
@@ -78,7 +78,7 @@
   if (pid_ == 0 || ::waitpid(pid_, &status, wait ? 0 : WNOHANG) != pid_) {
     return;
   }
-  exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : kSignalBase + WTERMSIG(status);
+  exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : kSignalExitCodeBase + WTERMSIG(status);
   pid_ = 0;
   // The log is whole from here on.
   log_.reset();
@@ -89,7 +89,7 @@
   return pid_ != 0;
 }
 
-bool Process::ended() { return !running(); }
+bool Process::hasExited() { return !running(); }
 
 void Process::kill() {
   if (running()) {
@@ -120,28 +120,27 @@
 
 Result<std::monostate> Process::unlimitFileSize() { return limitFileSize(RLIM_INFINITY); }
 
-std::optional<Footprint> Process::footprint() {
+std::optional<ResourceUsage> Process::resourceUsage() {
   if (!running()) {
     return std::nullopt;
   }
   const std::string folder = "/proc/" + std::to_string(pid_);
-  Footprint footprint;
+  ResourceUsage usage;
   std::ifstream status(folder + "/status");
   const std::string name = "VmRSS:";
   for (std::string line; std::getline(status, line);) {
     if (line.starts_with(name)) {
-      footprint.memory_kb = std::stoull(line.substr(name.size()));
+      usage.memory_kb = std::stoull(line.substr(name.size()));
     }
   }
   std::error_code failure;
   const std::filesystem::directory_iterator descriptors(folder + "/fd", failure);
-  footprint.descriptors =
-      static_cast<uint64_t>(std::distance(begin(descriptors), end(descriptors)));
-  const bool whole = !failure && footprint.memory_kb != 0;
-  return whole ? std::optional(footprint) : std::nullopt;
+  usage.descriptors = static_cast<uint64_t>(std::distance(begin(descriptors), end(descriptors)));
+  const bool complete = !failure && usage.memory_kb != 0;
+  return complete ? std::optional(usage) : std::nullopt;
 }
 
-void Process::askToStop() {
+void Process::requestStop() {
   if (running()) {
     ::kill(pid_, SIGTERM);
   }
--- a/src/scenario/process.h
+++ b/src/scenario/process.h
@@ -15,7 +15,7 @@
 namespace workshatch::scenario {
 
 /// What a process takes of the machine.
-struct Footprint {
+struct ResourceUsage {
   uint64_t memory_kb = 0;
   uint64_t descriptors = 0;
 };
@@ -39,11 +39,11 @@
   Result<std::monostate> limitFileSize(uint64_t bytes);
   Result<std::monostate> unlimitFileSize();
   /// Asks for a planned stop; `waitStopped` sees its end.
-  void askToStop();
+  void requestStop();
   /// @return nothing when it does not run, or its figures can't be read.
-  std::optional<Footprint> footprint();
+  std::optional<ResourceUsage> resourceUsage();
   /// @return whether the process has ended; its exit code is then known.
-  bool ended();
+  bool hasExited();
   int exitCode() const { return exit_code_; }
 
 private:
--- a/src/scenario/scenario_expect.cc
+++ b/src/scenario/scenario_expect.cc
@@ -13,25 +13,25 @@
 namespace workshatch::scenario {
 
 ScenarioRun::Outcome ScenarioRun::expectCount(const Command& command, uint64_t counted) {
-  const uint64_t least = numberOption(command, "min", 0);
+  const uint64_t min_count = numberOption(command, "min", 0);
   const uint64_t most = numberOption(command, "max", UINT32_MAX);
-  if (counted < least || counted > most) {
-    return Error{"counted " + std::to_string(counted) + ", expected " + std::to_string(least) +
+  if (counted < min_count || counted > most) {
+    return Error{"counted " + std::to_string(counted) + ", expected " + std::to_string(min_count) +
                  " to " + std::to_string(most)};
   }
   return kDone;
 }
 
 /// The first lost answers of a load, a line each.
-std::string ScenarioRun::describeLosses(const CallerLoad& load) {
-  constexpr size_t kMostLines = 40;
+std::string ScenarioRun::describeLosses(const LoadGenerator& load) {
+  constexpr size_t kMaxLines = 40;
   std::string text;
   size_t lines = 0;
-  for (const Answer& answer : load.answers()) {
-    if (answer.kind == AnswerKind::Lost && lines++ < kMostLines) {
+  for (const AttemptResult& answer : load.attempts()) {
+    if (answer.kind == AttemptOutcome::Lost && lines++ < kMaxLines) {
       text += "\n    lost " + answer.id + " at " + answer.address + ", ended " +
-              std::to_string(answer.ended_at_ms) + " ms, after " + std::to_string(answer.took_ms) +
-              " ms: " + answer.loss;
+              std::to_string(answer.ended_at_ms) + " ms, after " +
+              std::to_string(answer.duration_ms) + " ms: " + answer.loss_reason;
     }
   }
   return text;
@@ -42,66 +42,67 @@
   for (const std::string& name : fleet_->modelNames()) {
     runners.push_back(fleet_->runnerAddress(name));
   }
-  sampler_ = std::make_unique<LoadSampler>(std::move(runners),
-                                           std::stod(textOption(command, "factor", "1.25")));
+  cap_sampler_ = std::make_unique<LoadCapSampler>(std::move(runners),
+                                                  std::stod(textOption(command, "factor", "1.25")));
   return kDone;
 }
 
 ScenarioRun::Outcome ScenarioRun::runWatchFootprint(const Command& /*command*/) {
   for (const std::string& name : fleet_->names()) {
-    const auto footprint =
-        name.starts_with("entry-") ? fleet_->find(name)->footprint() : std::nullopt;
-    if (footprint) {
-      footprints_[name] = *footprint;
+    const auto usage =
+        name.starts_with("entry-") ? fleet_->find(name)->resourceUsage() : std::nullopt;
+    if (usage) {
+      initial_usage_[name] = *usage;
     }
   }
   return kDone;
 }
 
-/// Wants no daemon to have grown much since `watch-footprint`.
+/// Wants no daemon to have grown much since `watch-resourceUsage`.
 ScenarioRun::Outcome ScenarioRun::expectFootprint() {
-  constexpr uint64_t kMostTimes = 2;
+  constexpr uint64_t kMaxGrowthFactor = 2;
   constexpr uint64_t kMemorySlackKb = uint64_t{32} * 1024;
   constexpr uint64_t kDescriptorSlack = 64;
-  if (footprints_.empty()) {
+  if (initial_usage_.empty()) {
     return Error{"expected watch-footprint before"};
   }
-  Footprint most;
-  for (const auto& [name, before] : footprints_) {
-    const auto now = fleet_->find(name)->footprint();
+  ResourceUsage most;
+  for (const auto& [name, before] : initial_usage_) {
+    const auto now = fleet_->find(name)->resourceUsage();
     if (!now) {
       return Error{name + " does not run, or its figures can't be read"};
     }
-    if (now->memory_kb > kMostTimes * before.memory_kb + kMemorySlackKb) {
+    if (now->memory_kb > kMaxGrowthFactor * before.memory_kb + kMemorySlackKb) {
       return Error{name + " grew from " + std::to_string(before.memory_kb) + " to " +
                    std::to_string(now->memory_kb) + " kB"};
     }
-    if (now->descriptors > kMostTimes * before.descriptors + kDescriptorSlack) {
+    if (now->descriptors > kMaxGrowthFactor * before.descriptors + kDescriptorSlack) {
       return Error{name + " grew from " + std::to_string(before.descriptors) + " to " +
                    std::to_string(now->descriptors) + " descriptors"};
     }
     most.memory_kb = std::max(most.memory_kb, now->memory_kb);
     most.descriptors = std::max(most.descriptors, now->descriptors);
   }
-  notes_ += "; most memory " + std::to_string(most.memory_kb) + " kB, most descriptors " +
-            std::to_string(most.descriptors);
+  measurements_ += "; most memory " + std::to_string(most.memory_kb) + " kB, most descriptors " +
+                   std::to_string(most.descriptors);
   return kDone;
 }
 
 ScenarioRun::Outcome ScenarioRun::expectCap(const Command& command) {
-  if (!sampler_) {
+  if (!cap_sampler_) {
     return Error{"expected watch-cap before"};
   }
-  const CapReport report = sampler_->report();
-  notes_ += "; cap: " + std::to_string(report.over_recent) + " of " +
-            std::to_string(report.samples) + " samples over (" + std::to_string(report.over) +
-            " against the momentary mean), worst max/mean " + std::to_string(report.worst_ratio) +
-            (report.last_over.empty() ? "" : "; " + report.last_over);
+  const CapReport report = cap_sampler_->report();
+  measurements_ +=
+      "; cap: " + std::to_string(report.over_recent_cap) + " of " + std::to_string(report.samples) +
+      " samples over (" + std::to_string(report.over_current_cap) +
+      " against the momentary mean), worst max/mean " + std::to_string(report.max_ratio) +
+      (report.last_over_cap.empty() ? "" : "; " + report.last_over_cap);
   if (report.samples < numberOption(command, "samples", 1)) {
     return Error{"only " + std::to_string(report.samples) + " samples"};
   }
-  if (report.over_recent > numberOption(command, "over", 0)) {
-    return Error{notes_};
+  if (report.over_recent_cap > numberOption(command, "over", 0)) {
+    return Error{measurements_};
   }
   return kDone;
 }
@@ -111,9 +112,10 @@
 ScenarioRun::Outcome ScenarioRun::expectSlower(const Command& command) {
   const auto p95 = [this](const std::string& name) -> int64_t {
     std::vector<int64_t> times;
-    const CallerLoad* load = findLoad(name);
-    for (const Answer& answer : load == nullptr ? std::vector<Answer>() : load->answers()) {
-      if (answer.kind == AnswerKind::Completed) {
+    const LoadGenerator* load = findLoad(name);
+    for (const AttemptResult& answer :
+         load == nullptr ? std::vector<AttemptResult>() : load->attempts()) {
+      if (answer.kind == AttemptOutcome::Completed) {
         times.push_back(answer.first_event_ms);
       }
     }
@@ -122,8 +124,8 @@
   };
   const int64_t first = p95(command.arguments[1]);
   const int64_t second = p95(command.arguments[2]);
-  notes_ += "; first event p95: " + command.arguments[1] + " " + std::to_string(first) + " ms, " +
-            command.arguments[2] + " " + std::to_string(second) + " ms";
+  measurements_ += "; first event p95: " + command.arguments[1] + " " + std::to_string(first) +
+                   " ms, " + command.arguments[2] + " " + std::to_string(second) + " ms";
   if (second == 0 || first == 0) {
     return Error{"a load has no answers"};
   }
@@ -144,13 +146,13 @@
     std::ifstream in(path);
     return std::count(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>(), '\n');
   };
-  CallerLoad* load = findLoad(textOption(command, "load", ""));
+  LoadGenerator* load = findLoad(textOption(command, "load", ""));
   if (load == nullptr) {
     return Error{"load: expected the name of a load"};
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(numberOption(command, "after_ms", 0)));
   const auto before = lines();
-  const size_t answers = load->answerCount() + numberOption(command, "for_answers", 1);
+  const size_t answers = load->attemptCount() + numberOption(command, "for_answers", 1);
   if (const Outcome waited = waitLoad(load->plan().name, answers); isError(waited)) {
     return waited;
   }
@@ -163,9 +165,9 @@
 
 /// Operators' calls without the right token are refused, also by the leader.
 ScenarioRun::Outcome ScenarioRun::expectWrongToken() {
-  rpc::OperatorClient stranger(fleet_->controlAddresses(), "not-the-operators-token",
-                               kStatusTimeoutMs);
-  const auto status = stranger.status();
+  rpc::OperatorClient unauthorized_client(fleet_->controlAddresses(), "not-the-operators-token",
+                                          kStatusTimeoutMs);
+  const auto status = unauthorized_client.status();
   const bool refused =
       isError(status) && errorOf(status).message.find("refused") != std::string::npos;
   return refused ? Outcome(kDone) : Outcome(Error{"the call was not refused"});
@@ -186,7 +188,7 @@
     return expectWrongToken();
   }
   if (what == "all-told") {
-    return expectAllTold();
+    return expectNoCallTimedOut();
   }
   if (what == "footprint") {
     return expectFootprint();
@@ -206,10 +208,11 @@
         std::filesystem::file_size(fleet_->dataFolder(command.arguments[1]) + "/raft.log", failure);
     return expectCount(command, size);
   }
-  static const std::map<std::string, AnswerKind> kinds = {{"completed", AnswerKind::Completed},
-                                                          {"not-run", AnswerKind::NotRun},
-                                                          {"unknown", AnswerKind::Unknown},
-                                                          {"lost", AnswerKind::Lost}};
+  static const std::map<std::string, AttemptOutcome> kinds = {
+      {"completed", AttemptOutcome::Completed},
+      {"not-run", AttemptOutcome::NotRun},
+      {"unknown", AttemptOutcome::Unknown},
+      {"lost", AttemptOutcome::Lost}};
   const auto kind = kinds.find(what);
   if (kind == kinds.end() || command.arguments.size() != 2) {
     return Error{"expected: wrong-token, all-told, footprint, no-new-runs RUNNER, completed, "
@@ -218,12 +221,12 @@
                  "log NAME TEXT; or "
                  "log-size NAME"};
   }
-  CallerLoad* load = findLoad(command.arguments[1]);
+  LoadGenerator* load = findLoad(command.arguments[1]);
   if (load == nullptr) {
     return Error{"no such load"};
   }
   Outcome outcome = expectCount(command, load->countOf(kind->second));
-  if (isError(outcome) && kind->second == AnswerKind::Lost) {
+  if (isError(outcome) && kind->second == AttemptOutcome::Lost) {
     return Error{errorOf(outcome).message + describeLosses(*load)};
   }
   return outcome;
--- a/src/scenario/scenario_operators.cc
+++ b/src/scenario/scenario_operators.cc
@@ -54,23 +54,24 @@
 
 /// Operators call all control replicas all the time until the scenario ends.
 ScenarioRun::Outcome ScenarioRun::runPress(const Command& command) {
-  press_ = std::make_unique<OperatorPress>(fleet_->controlAddresses(), Fleet::kOperatorToken,
-                                           numberOption(command, "operators", 24));
+  operator_load_ = std::make_unique<OperatorLoad>(fleet_->controlAddresses(), Fleet::kOperatorToken,
+                                                  numberOption(command, "operators", 24));
   return kDone;
 }
 
 /// Wants every call of the pressing operators answered or turned away, none left to its deadline.
-ScenarioRun::Outcome ScenarioRun::expectAllTold() {
-  if (!press_) {
+ScenarioRun::Outcome ScenarioRun::expectNoCallTimedOut() {
+  if (!operator_load_) {
     return Error{"expected press before"};
   }
-  const PressCounts counts = press_->counts();
-  notes_ += ", operators: " + std::to_string(counts.answered) + " answered, " +
-            std::to_string(counts.turned_away) + " turned away, longest pause " +
-            std::to_string(counts.longest_pause_ms) + " ms";
-  if (counts.left_waiting > 0 || counts.answered == 0) {
-    return Error{std::to_string(counts.left_waiting) + " calls of operators were left waiting, " +
-                 std::to_string(counts.answered) + " answered"};
+  const OperatorCallCounts counts = operator_load_->counts();
+  measurements_ += ", operators: " + std::to_string(counts.answered) + " answered, " +
+                   std::to_string(counts.refused) + " turned away, longest pause " +
+                   std::to_string(counts.longest_gap_ms) + " ms";
+  if (counts.timed_out_calls > 0 || counts.answered == 0) {
+    return Error{std::to_string(counts.timed_out_calls) +
+                 " calls of operators were left waiting, " + std::to_string(counts.answered) +
+                 " answered"};
   }
   return kDone;
 }
@@ -165,7 +166,7 @@
   }
   const std::string& name = command.arguments[0];
   v1::ReplaceReplicaRequest request;
-  request.set_old_id(identities_[name]);
+  request.set_old_id(replica_ids_[name]);
   const Outcome identified = waitFor("an identity in its new folder", [&] {
     std::ifstream in(fleet_->dataFolder(name) + "/identity");
     uint64_t id = 0;
--- a/src/scenario/scenario_processes.cc
+++ b/src/scenario/scenario_processes.cc
@@ -6,7 +6,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 #include "scenario/command_options.h"
 #include "scenario/scenario_run.h"
 
@@ -15,32 +15,32 @@
 using nlohmann::json;
 
 ScenarioRun::Outcome ScenarioRun::runStart(const Command& command) {
-  return forTargets(command, [this](const std::string& name) {
-    absent_.erase(name);
+  return forEachTarget(command, [this](const std::string& name) {
+    unavailable_.erase(name);
     started_.insert(name);
     return fleet_->find(name)->start();
   });
 }
 
 ScenarioRun::Outcome ScenarioRun::runKill(const Command& command) {
-  return forTargets(command, [this](const std::string& name) -> Outcome {
-    absent_.insert(name);
+  return forEachTarget(command, [this](const std::string& name) -> Outcome {
+    unavailable_.insert(name);
     fleet_->find(name)->kill();
     return kDone;
   });
 }
 
 ScenarioRun::Outcome ScenarioRun::runFreeze(const Command& command) {
-  return forTargets(command, [this](const std::string& name) -> Outcome {
-    absent_.insert(name);
+  return forEachTarget(command, [this](const std::string& name) -> Outcome {
+    unavailable_.insert(name);
     fleet_->find(name)->freeze();
     return kDone;
   });
 }
 
 ScenarioRun::Outcome ScenarioRun::runThaw(const Command& command) {
-  return forTargets(command, [this](const std::string& name) -> Outcome {
-    absent_.erase(name);
+  return forEachTarget(command, [this](const std::string& name) -> Outcome {
+    unavailable_.erase(name);
     fleet_->find(name)->thaw();
     return kDone;
   });
@@ -48,11 +48,11 @@
 
 /// A planned stop: asks, waits for the end, and wants exit code 0.
 ScenarioRun::Outcome ScenarioRun::runStop(const Command& command) {
-  return forTargets(command, [this](const std::string& name) -> Outcome {
-    absent_.insert(name);
+  return forEachTarget(command, [this](const std::string& name) -> Outcome {
+    unavailable_.insert(name);
     Process* process = fleet_->find(name);
-    process->askToStop();
-    const Outcome ended = waitFor("its end", [process] { return process->ended(); });
+    process->requestStop();
+    const Outcome ended = waitFor("its end", [process] { return process->hasExited(); });
     if (!isError(ended) && process->exitCode() != 0) {
       return Error{"ended with exit code " + std::to_string(process->exitCode())};
     }
@@ -61,7 +61,7 @@
 }
 
 ScenarioRun::Outcome ScenarioRun::runWipe(const Command& command) {
-  return forTargets(command, [this](const std::string& name) -> Outcome {
+  return forEachTarget(command, [this](const std::string& name) -> Outcome {
     if (fleet_->find(name)->running()) {
       return Error{"runs; expected it to be killed first"};
     }
@@ -76,7 +76,7 @@
   if (state != "full" && state != "works") {
     return Error{"state: expected full or works"};
   }
-  return forTargets(command, [this, &state](const std::string& name) -> Outcome {
+  return forEachTarget(command, [this, &state](const std::string& name) -> Outcome {
     Process* process = fleet_->find(name);
     if (state == "works") {
       return process->unlimitFileSize();
@@ -92,7 +92,7 @@
 
 /// Flips a byte in the middle of a stopped replica's log.
 ScenarioRun::Outcome ScenarioRun::runDamage(const Command& command) {
-  return forTargets(command, [this](const std::string& name) -> Outcome {
+  return forEachTarget(command, [this](const std::string& name) -> Outcome {
     const std::string path = fleet_->dataFolder(name) + "/raft.log";
     std::error_code failure;
     const auto size = std::filesystem::file_size(path, failure);
@@ -128,20 +128,20 @@
       continue;
     }
     if (way != "in") {
-      fleet_->setCut(name, other, true);
+      fleet_->setLinkCut(name, other, true);
     }
     if (way != "out") {
-      fleet_->setCut(other, name, true);
+      fleet_->setLinkCut(other, name, true);
     }
   }
-  absent_.insert(name);
+  unavailable_.insert(name);
   return kDone;
 }
 
 ScenarioRun::Outcome ScenarioRun::runHeal(const Command& /*command*/) {
-  fleet_->healAll();
-  for (auto entry = absent_.begin(); entry != absent_.end();) {
-    entry = fleet_->find(*entry)->running() ? absent_.erase(entry) : std::next(entry);
+  fleet_->healAllLinks();
+  for (auto entry = unavailable_.begin(); entry != unavailable_.end();) {
+    entry = fleet_->find(*entry)->running() ? unavailable_.erase(entry) : std::next(entry);
   }
   return kDone;
 }
@@ -154,8 +154,8 @@
   for (const auto& [name, value] : command.options) {
     members[name] = json::parse(value);
   }
-  const auto answer = http::simpleCall(fleet_->runnerAddress(command.arguments[0]),
-                                       http::Verb::post, "/fault", members.dump(), {});
+  const auto answer = http::blockingCall(fleet_->runnerAddress(command.arguments[0]),
+                                         http::Verb::post, "/fault", members.dump(), {});
   if (isError(answer)) {
     return errorOf(answer);
   }
@@ -169,17 +169,17 @@
   if (command.arguments[0] == "lag") {
     const std::string body = "{\"lag_ms\":" + std::to_string(numberOption(command, "ms", 0)) + "}";
     const auto answer =
-        http::simpleCall(fleet_->platformAddress(), http::Verb::put, "/lag", body, {});
+        http::blockingCall(fleet_->platformAddress(), http::Verb::put, "/lag", body, {});
     return isError(answer) ? Outcome(errorOf(answer)) : Outcome(kDone);
   }
   const std::string state = textOption(command, "state", "leaving");
-  if (sampler_) {
-    sampler_->setLeaving(fleet_->runnerAddress(command.arguments[0]), state != "live");
+  if (cap_sampler_) {
+    cap_sampler_->setLeaving(fleet_->runnerAddress(command.arguments[0]), state != "live");
   }
   const auto verb = state == "gone" ? http::Verb::delete_ : http::Verb::put;
   const auto answer =
-      http::simpleCall(fleet_->platformAddress(), verb, "/v1/machines/" + command.arguments[0],
-                       json({{"state", state}}).dump(), {});
+      http::blockingCall(fleet_->platformAddress(), verb, "/v1/machines/" + command.arguments[0],
+                         json({{"state", state}}).dump(), {});
   return isError(answer) ? Outcome(errorOf(answer)) : Outcome(kDone);
 }
 
--- a/src/scenario/scenario_run.cc
+++ b/src/scenario/scenario_run.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kPoll{20};
-constexpr std::chrono::seconds kWaitLimit{60};
+constexpr std::chrono::milliseconds kPollInterval{20};
+constexpr std::chrono::seconds kWaitTimeout{60};
 
 } // namespace
 
@@ -36,41 +36,42 @@
                                        command.name + ": " + errorOf(outcome).message};
     }
   }
-  Verdict verdict = this->verdict();
+  InvariantReport report = this->evaluateInvariants();
   for (const std::string& name : fleet_ ? fleet_->names() : std::vector<std::string>()) {
-    if (started_.contains(name) && !absent_.contains(name) && fleet_->find(name)->ended()) {
-      verdict.violations.push_back(name + " ended by itself with exit code " +
-                                   std::to_string(fleet_->find(name)->exitCode()));
+    if (started_.contains(name) && !unavailable_.contains(name) &&
+        fleet_->find(name)->hasExited()) {
+      report.violations.push_back(name + " ended by itself with exit code " +
+                                  std::to_string(fleet_->find(name)->exitCode()));
     }
   }
-  const Counts& counts = verdict.counts;
+  const ScenarioCounts& counts = report.counts;
   std::string summary =
       "runs " + std::to_string(counts.runs) + ", completed " + std::to_string(counts.completed) +
       ", not-run " + std::to_string(counts.not_run) + ", unknown " +
       std::to_string(counts.unknown) + ", lost " + std::to_string(counts.lost) + ", chats " +
-      std::to_string(counts.conversations) + ", decisions " + std::to_string(counts.decisions) +
-      ", slowest refusal " + std::to_string(counts.slowest_refusal_ms) + " ms" + notes_;
-  for (const std::string& violation : verdict.violations) {
+      std::to_string(counts.chat_turns) + ", decisions " + std::to_string(counts.decisions) +
+      ", slowest refusal " + std::to_string(counts.slowest_refusal_ms) + " ms" + measurements_;
+  for (const std::string& violation : report.violations) {
     summary += "\n    violated: " + violation;
   }
-  return ScenarioResult{.passed = verdict.violations.empty(), .summary = summary};
+  return ScenarioResult{.passed = report.violations.empty(), .summary = summary};
 }
 
-Verdict ScenarioRun::verdict() const {
-  Evidence evidence;
+InvariantReport ScenarioRun::evaluateInvariants() const {
+  InvariantInputs inputs;
   for (const auto& load : loads_) {
-    evidence.loads.push_back(load.get());
+    inputs.loads.push_back(load.get());
   }
   if (fleet_) {
-    evidence.run_logs = fleet_->runLogs();
+    inputs.run_logs = fleet_->runLogs();
     for (const std::string& name : fleet_->names()) {
       if (name.starts_with("entry-")) {
-        evidence.daemon_logs.push_back(fleet_->logPath(name));
+        inputs.daemon_logs.push_back(fleet_->logPath(name));
       }
     }
   }
-  evidence.accepted = accepted_;
-  return checkInvariants(evidence);
+  inputs.accepted = accepted_;
+  return checkInvariants(inputs);
 }
 
 ScenarioRun::Outcome ScenarioRun::execute(const Command& command) {
@@ -115,12 +116,12 @@
 
 ScenarioRun::Outcome ScenarioRun::waitFor(const std::string& what,
                                           const std::function<bool()>& condition) {
-  const auto until = std::chrono::steady_clock::now() + kWaitLimit;
+  const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > until) {
       return Error{"gave up waiting for " + what};
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return kDone;
 }
@@ -140,8 +141,8 @@
   plan.engine_limit = numberOption(command, "engine_limit", plan.engine_limit);
   plan.queue_length = numberOption(command, "queue_length", plan.queue_length);
   plan.renew_ms = numberOption(command, "renew_ms", plan.renew_ms);
-  plan.ledger = !options_.without_ledger;
-  plan.relays = textOption(command, "relays", "no") == "yes";
+  plan.non_repeatable_routes = !options_.all_routes_repeatable;
+  plan.proxies = textOption(command, "relays", "no") == "yes";
   fleet_ = std::make_unique<Fleet>(plan);
   return fleet_->prepare();
 }
@@ -158,7 +159,7 @@
   }
   v1::StatusReply& reply = std::get<v1::StatusReply>(status);
   for (const v1::MemberStatus& member : reply.members()) {
-    identities_[fleet_->daemonAt(member.member().address())] = member.member().id();
+    replica_ids_[fleet_->daemonAt(member.member().address())] = member.member().id();
   }
   return std::move(reply);
 }
@@ -178,29 +179,30 @@
 
 Result<std::string> ScenarioRun::resolveName(const std::string& word) {
   if (word == "last") {
-    return last_leader_;
+    return last_named_daemon_;
   }
   if (word == "leader") {
     const Outcome found = waitFor("a leader", [this] {
-      last_leader_ = leaderName();
-      return !last_leader_.empty();
+      last_named_daemon_ = leaderName();
+      return !last_named_daemon_.empty();
     });
-    return isError(found) ? Result<std::string>(errorOf(found)) : Result<std::string>(last_leader_);
+    return isError(found) ? Result<std::string>(errorOf(found))
+                          : Result<std::string>(last_named_daemon_);
   }
   if (word == "some-router" || word == "some-control") {
     std::vector<std::string> present;
     for (uint32_t router = 1; router <= fleet_->plan().routers; ++router) {
       const std::string name = "entry-" + std::to_string(router);
       const bool control = router <= fleet_->plan().controls;
-      if (!absent_.contains(name) && control == (word == "some-control")) {
+      if (!unavailable_.contains(name) && control == (word == "some-control")) {
         present.push_back(name);
       }
     }
     if (present.empty()) {
       return Error{"no such daemon runs"};
     }
-    last_leader_ = present[random_.below(present.size())];
-    return last_leader_;
+    last_named_daemon_ = present[random_.below(present.size())];
+    return last_named_daemon_;
   }
   if (fleet_->find(word) == nullptr) {
     return Error{"no process \"" + word +
@@ -210,7 +212,7 @@
   return word;
 }
 
-Result<std::vector<std::string>> ScenarioRun::targets(const Command& command) {
+Result<std::vector<std::string>> ScenarioRun::resolveTargets(const Command& command) {
   std::vector<std::string> names;
   for (const std::string& word : command.arguments) {
     if (word == "all" || word == "daemons") {
@@ -234,14 +236,14 @@
 }
 
 ScenarioRun::Outcome
-ScenarioRun::forTargets(const Command& command,
-                        const std::function<Outcome(const std::string&)>& use) {
-  const auto names = targets(command);
+ScenarioRun::forEachTarget(const Command& command,
+                           const std::function<Outcome(const std::string&)>& action) {
+  const auto names = resolveTargets(command);
   if (isError(names)) {
     return errorOf(names);
   }
   for (const std::string& name : std::get<std::vector<std::string>>(names)) {
-    if (const Outcome outcome = use(name); isError(outcome)) {
+    if (const Outcome outcome = action(name); isError(outcome)) {
       return Error{name + ": " + errorOf(outcome).message};
     }
   }
@@ -263,22 +265,23 @@
   plan.repeat = numberOption(command, "repeat", plan.repeat);
   plan.concurrency = numberOption(command, "concurrency", plan.concurrency);
   plan.tokens = numberOption(command, "tokens", plan.tokens);
-  plan.tries = numberOption(command, "tries", plan.tries);
+  plan.max_attempts = numberOption(command, "tries", plan.max_attempts);
   plan.resolve = textOption(command, "resolve", "no") == "yes";
   plan.pause_ms = numberOption(command, "pause_ms", plan.pause_ms);
   plan.keep_connections = textOption(command, "keep", "no") == "yes";
-  loads_.push_back(std::make_unique<CallerLoad>(plan, fleet_->routerAddresses(), random_.next()));
+  loads_.push_back(
+      std::make_unique<LoadGenerator>(plan, fleet_->routerAddresses(), random_.next()));
   loads_.back()->start();
   return kDone;
 }
 
-CallerLoad* ScenarioRun::findLoad(const std::string& name) {
+LoadGenerator* ScenarioRun::findLoad(const std::string& name) {
   const auto found = std::find_if(loads_.begin(), loads_.end(),
                                   [&](const auto& load) { return load->plan().name == name; });
   return found == loads_.end() ? nullptr : found->get();
 }
 
-ScenarioRun::Outcome ScenarioRun::waitReady(size_t routers) {
+ScenarioRun::Outcome ScenarioRun::waitRoutersReady(size_t routers) {
   return waitFor(std::to_string(routers) + " routers that serve", [this, routers] {
     const auto status = readStatus();
     if (!status) {
@@ -297,12 +300,12 @@
 }
 
 ScenarioRun::Outcome ScenarioRun::waitLoad(const std::string& name, size_t answers) {
-  CallerLoad* load = findLoad(name);
+  LoadGenerator* load = findLoad(name);
   if (load == nullptr) {
     return Error{"no load \"" + name + "\""};
   }
   return waitFor("load " + name, [load, answers] {
-    return answers == 0 ? load->finished() : load->answerCount() >= answers || load->finished();
+    return answers == 0 ? load->finished() : load->attemptCount() >= answers || load->finished();
   });
 }
 
@@ -318,18 +321,18 @@
   if (what == "ready") {
     const size_t routers =
         command.arguments.size() > 1 ? std::stoul(command.arguments[1]) : fleet_->plan().routers;
-    return waitReady(routers);
+    return waitRoutersReady(routers);
   }
   if (what == "load" && command.arguments.size() == 2) {
     return waitLoad(command.arguments[1], numberOption(command, "answers", 0));
   }
   if (what == "new-leader") {
-    return waitLeader(last_leader_);
+    return waitLeader(last_named_daemon_);
   }
   if (what == "ended" && command.arguments.size() == 2) {
     Process* process = fleet_->find(command.arguments[1]);
     return process == nullptr ? Outcome(Error{"no such process"})
-                              : waitFor("its end", [process] { return process->ended(); });
+                              : waitFor("its end", [process] { return process->hasExited(); });
   }
   return Error{"expected: ready [N], load NAME [answers=N], new-leader, or ended NAME"};
 }
--- a/src/scenario/scenario_run.h
+++ b/src/scenario/scenario_run.h
@@ -12,11 +12,11 @@
 
 #include "adapters/rpc/operator_client.h"
 #include "ports/seeded_random.h"
-#include "scenario/callers.h"
 #include "scenario/fleet.h"
 #include "scenario/invariants.h"
-#include "scenario/load_sampler.h"
-#include "scenario/operator_press.h"
+#include "scenario/load_cap_sampler.h"
+#include "scenario/load_generator.h"
+#include "scenario/operator_load.h"
 #include "scenario/script.h"
 
 namespace workshatch::scenario {
@@ -27,7 +27,7 @@
   std::string folder;
   uint64_t seed = 1;
   /// Declares all routes repeatable: the counter-test of run-once.
-  bool without_ledger = false;
+  bool all_routes_repeatable = false;
 };
 
 struct ScenarioResult {
@@ -74,47 +74,48 @@
 
   Outcome execute(const Command& command);
   Outcome waitFor(const std::string& what, const std::function<bool()>& condition);
-  Outcome waitReady(size_t routers);
+  Outcome waitRoutersReady(size_t routers);
   Outcome waitLoad(const std::string& name, size_t answers);
   Outcome waitLeader(const std::string& other_than);
-  Result<std::vector<std::string>> targets(const Command& command);
+  Result<std::vector<std::string>> resolveTargets(const Command& command);
   Result<std::string> resolveName(const std::string& word);
-  Outcome forTargets(const Command& command, const std::function<Outcome(const std::string&)>& use);
+  Outcome forEachTarget(const Command& command,
+                        const std::function<Outcome(const std::string&)>& action);
   std::optional<v1::StatusReply> readStatus();
   std::string leaderName();
   std::unique_ptr<rpc::OperatorClient> operatorClient(int64_t timeout_ms) const;
   Outcome applyOnce(const v1::ApplyRequest& request, const std::string& expected);
-  CallerLoad* findLoad(const std::string& name);
-  Verdict verdict() const;
+  LoadGenerator* findLoad(const std::string& name);
+  InvariantReport evaluateInvariants() const;
   Outcome expectWrongToken();
   Outcome expectCap(const Command& command);
   Outcome expectSlower(const Command& command);
   Outcome expectNoNewRuns(const Command& command);
   Outcome expectCount(const Command& command, uint64_t counted);
-  Outcome expectAllTold();
+  Outcome expectNoCallTimedOut();
   Outcome expectFootprint();
-  static std::string describeLosses(const CallerLoad& load);
+  static std::string describeLosses(const LoadGenerator& load);
 
   const Script& script_;
   const RunOptions options_;
   SeededRandom random_;
   std::unique_ptr<Fleet> fleet_;
-  std::vector<std::unique_ptr<CallerLoad>> loads_;
-  std::unique_ptr<LoadSampler> sampler_;
-  std::unique_ptr<OperatorPress> press_;
+  std::vector<std::unique_ptr<LoadGenerator>> loads_;
+  std::unique_ptr<LoadCapSampler> cap_sampler_;
+  std::unique_ptr<OperatorLoad> operator_load_;
   /// By daemon, when they were noted.
-  std::map<std::string, Footprint> footprints_;
+  std::map<std::string, ResourceUsage> initial_usage_;
   std::vector<AcceptedChange> accepted_;
   /// Daemons that were killed, frozen, stopped or never started.
-  std::set<std::string> absent_;
+  std::set<std::string> unavailable_;
   /// Processes that were started once.
   std::set<std::string> started_;
   /// Daemon that "leader" named last.
-  std::string last_leader_;
+  std::string last_named_daemon_;
   uint64_t variant_ = 0;
   /// Figures that expectations measured, for the closing line.
-  std::string notes_;
-  std::map<std::string, uint64_t> identities_;
+  std::string measurements_;
+  std::map<std::string, uint64_t> replica_ids_;
 };
 
 } // namespace workshatch::scenario
--- a/src/scenario/soak_script.cc
+++ b/src/scenario/soak_script.cc
@@ -16,31 +16,31 @@
 constexpr uint32_t kDaemons = 5;
 constexpr uint32_t kModels = 4;
 /// A fault lasts for one to this many steps.
-constexpr uint64_t kMostStepsOfAFault = 4;
+constexpr uint64_t kMaxFaultSteps = 4;
 /// Answers of the look-ups between two steps: they pace the scenario, whatever the machine's speed.
-constexpr uint32_t kAnswersInAStep = 250;
+constexpr uint32_t kAnswersPerStep = 250;
 /// The same while a daemon stands still, which holds each caller that asks it for six seconds.
-constexpr uint32_t kAnswersWhileFrozen = 30;
-constexpr uint32_t kSessionsInAStep = 4;
-constexpr uint32_t kKeysInAStep = 20;
+constexpr uint32_t kAnswersPerFrozenStep = 30;
+constexpr uint32_t kSessionsPerStep = 4;
+constexpr uint32_t kKeysPerStep = 20;
 
 /// What may be disturbed by one fault at a time.
-enum class Slot { Control, Router, FirstModel, SecondModel };
-constexpr std::array<Slot, 4> kSlots = {Slot::Control, Slot::Router, Slot::FirstModel,
-                                        Slot::SecondModel};
+enum class FaultGroup { Control, Router, FirstModel, SecondModel };
+constexpr std::array<FaultGroup, 4> kFaultGroups = {
+    FaultGroup::Control, FaultGroup::Router, FaultGroup::FirstModel, FaultGroup::SecondModel};
 
 /// A fault that lasts, and the commands that end it.
 struct Fault {
-  Slot slot = Slot::Control;
+  FaultGroup group = FaultGroup::Control;
   std::string target;
   uint32_t ends_at_step = 0;
-  std::string end;
+  std::string end_command;
 };
 
 /// Commands that begin and end one kind of fault of a process; NAME stands for it.
 struct FaultKind {
-  const char* begin;
-  const char* end;
+  const char* begin_command;
+  const char* end_command;
 };
 
 constexpr std::array<FaultKind, 6> kDaemonFaults = {{
@@ -70,88 +70,89 @@
 }
 
 /// Draws one scenario.
-class SoakWriter {
+class SoakScriptGenerator {
 public:
-  explicit SoakWriter(const SoakPlan& plan) : plan_(plan), random_(plan.seed) {}
+  explicit SoakScriptGenerator(const SoakPlan& plan) : plan_(plan), random_(plan.seed) {}
 
-  std::string write() {
-    writeBegin();
+  std::string generate() {
+    writeHeader();
     for (step_ = 1; step_ <= plan_.steps; ++step_) {
-      endFaultsThatAreOver();
-      if (random_.below(kChangesOneOf) == 0) {
+      endExpiredFaults();
+      if (random_.below(kStepsPerChange) == 0) {
         writeChange();
       } else {
         beginFault();
       }
-      writePace();
+      writeWaitForAnswers();
     }
-    writeEnd();
+    writeFooter();
     return out_.str();
   }
 
 private:
   /// One of so many steps is an operator's change.
-  static constexpr uint64_t kChangesOneOf = 4;
+  static constexpr uint64_t kStepsPerChange = 4;
 
-  void writeBegin() {
+  void writeHeader() {
     out_ << "# Drawn with seed " << plan_.seed << ", " << plan_.steps << " steps.\n"
          << "fleet network=" << plan_.network << " step_ms=8 relays=yes\n"
          << "start all\nwait ready " << kDaemons << "\napply\n"
-         << "load lookup boards count=" << (plan_.steps + 1) * kAnswersInAStep
+         << "load lookup boards count=" << (plan_.steps + 1) * kAnswersPerStep
          << " concurrency=6 pause_ms=10 keep=yes\n"
-         << "load chat trails count=" << (plan_.steps + 1) * kSessionsInAStep
+         << "load chat trails count=" << (plan_.steps + 1) * kSessionsPerStep
          << " repeat=2 concurrency=12 tokens=20 keep=yes\n"
-         << "load confirm bookings count=" << (plan_.steps + 1) * kKeysInAStep
+         << "load confirm bookings count=" << (plan_.steps + 1) * kKeysPerStep
          << " repeat=2 concurrency=6 pause_ms=40 keep=yes\n";
     // With the callers' connections, so that only what faults leave behind counts as growth.
-    out_ << "wait load boards answers=" << kAnswersInAStep / 2 << "\nwatch-footprint\n";
+    out_ << "wait load boards answers=" << kAnswersPerStep / 2 << "\nwatch-footprint\n";
   }
 
-  void writePace() {
+  void writeWaitForAnswers() {
     const bool frozen = std::any_of(faults_.begin(), faults_.end(), [](const Fault& fault) {
-      return fault.end.starts_with("thaw entry-");
+      return fault.end_command.starts_with("thaw entry-");
     });
-    answers_ += frozen ? kAnswersWhileFrozen : kAnswersInAStep;
-    out_ << "wait load boards answers=" << answers_ << "\n";
+    answers_waited_for_ += frozen ? kAnswersPerFrozenStep : kAnswersPerStep;
+    out_ << "wait load boards answers=" << answers_waited_for_ << "\n";
   }
 
-  void writeEnd() {
+  void writeFooter() {
     for (const Fault& fault : faults_) {
-      out_ << fault.end << "\n";
+      out_ << fault.end_command << "\n";
     }
     out_ << "wait ready " << kDaemons << "\napply count=2\n"
          << "wait load boards\nwait load trails\nwait load bookings\n"
          << "expect footprint\n";
   }
 
-  bool isTaken(Slot slot) const {
+  bool hasActiveFault(FaultGroup group) const {
     return std::any_of(faults_.begin(), faults_.end(),
-                       [slot](const Fault& fault) { return fault.slot == slot; });
+                       [group](const Fault& fault) { return fault.group == group; });
   }
 
   /// A process that was just started may not listen yet.
   bool isDisturbed(const std::string& name) const {
     return std::any_of(faults_.begin(), faults_.end(),
                        [&](const Fault& fault) { return fault.target == name; }) ||
-           std::find(just_mended_.begin(), just_mended_.end(), name) != just_mended_.end();
+           std::find(ended_this_step_.begin(), ended_this_step_.end(), name) !=
+               ended_this_step_.end();
   }
 
-  void endFaultsThatAreOver() {
-    just_mended_.clear();
+  void endExpiredFaults() {
+    ended_this_step_.clear();
     for (auto fault = faults_.begin(); fault != faults_.end();) {
       if (fault->ends_at_step > step_) {
         ++fault;
         continue;
       }
-      out_ << fault->end << "\n";
-      just_mended_.push_back(fault->target);
+      out_ << fault->end_command << "\n";
+      ended_this_step_.push_back(fault->target);
       fault = faults_.erase(fault);
     }
   }
 
   /// Of the control replicas, or of the daemons without control.
-  std::string drawDaemon(Slot slot) {
-    const bool control = slot == Slot::Control;
+  std::string drawDaemon(FaultGroup group) {
+    const bool control = group == FaultGroup::Control;
     const uint64_t number = control ? 1 + random_.below(kControls)
                                     : 1 + kControls + random_.below(kDaemons - kControls);
     return "entry-" + std::to_string(number);
@@ -159,39 +160,39 @@
 
   std::string drawModel() { return "assistant-" + std::to_string(1 + random_.below(kModels)); }
 
-  FaultKind drawKind(Slot slot) {
-    if (slot == Slot::FirstModel || slot == Slot::SecondModel) {
+  FaultKind drawFaultKind(FaultGroup group) {
+    if (group == FaultGroup::FirstModel || group == FaultGroup::SecondModel) {
       return kModelFaults[random_.below(kModelFaults.size())];
     }
-    const uint64_t kinds = kDaemonFaults.size() + (slot == Slot::Control ? 1 : 0);
+    const uint64_t kinds = kDaemonFaults.size() + (group == FaultGroup::Control ? 1 : 0);
     const uint64_t drawn = random_.below(kinds);
     return drawn == kDaemonFaults.size() ? kFullDisk : kDaemonFaults[drawn];
   }
 
   /// A heal mends all cuts, so that one daemon is cut off at a time.
-  bool hasCut() const {
+  bool hasActiveCut() const {
     return std::any_of(faults_.begin(), faults_.end(),
-                       [](const Fault& fault) { return fault.end == "heal"; });
+                       [](const Fault& fault) { return fault.end_command == "heal"; });
   }
 
   void beginFault() {
-    const Slot slot = kSlots[random_.below(kSlots.size())];
-    const bool daemon = slot == Slot::Control || slot == Slot::Router;
-    const std::string name = daemon ? drawDaemon(slot) : drawModel();
-    const FaultKind kind = drawKind(slot);
-    const uint32_t steps = 1 + static_cast<uint32_t>(random_.below(kMostStepsOfAFault));
-    const std::string end = withName(kind.end, name);
-    if (isTaken(slot) || isDisturbed(name) || (end == "heal" && hasCut())) {
+    const FaultGroup group = kFaultGroups[random_.below(kFaultGroups.size())];
+    const bool daemon = group == FaultGroup::Control || group == FaultGroup::Router;
+    const std::string name = daemon ? drawDaemon(group) : drawModel();
+    const FaultKind kind = drawFaultKind(group);
+    const uint32_t steps = 1 + static_cast<uint32_t>(random_.below(kMaxFaultSteps));
+    const std::string end_command = withName(kind.end_command, name);
+    if (hasActiveFault(group) || isDisturbed(name) || (end_command == "heal" && hasActiveCut())) {
       return;
     }
-    out_ << withName(kind.begin, name) << "\n";
-    faults_.push_back(
-        Fault{.slot = slot, .target = name, .ends_at_step = step_ + steps, .end = end});
+    out_ << withName(kind.begin_command, name) << "\n";
+    faults_.push_back(Fault{
+        .group = group, .target = name, .ends_at_step = step_ + steps, .end_command = end_command});
   }
 
   /// Operators' changes, which are to be accepted also while one control replica is disturbed.
   void writeChange() {
-    if (random_.below(2) == 0 && !isTaken(Slot::Control)) {
+    if (random_.below(2) == 0 && !hasActiveFault(FaultGroup::Control)) {
       out_ << "race operators=3\n";
     } else {
       out_ << "apply count=2\n";
@@ -202,15 +203,15 @@
   SeededRandom random_;
   uint32_t step_ = 0;
   /// Answers that the last step waits for.
-  uint32_t answers_ = 0;
+  uint32_t answers_waited_for_ = 0;
   std::vector<Fault> faults_;
   /// Processes whose fault ended in this step.
-  std::vector<std::string> just_mended_;
+  std::vector<std::string> ended_this_step_;
   std::ostringstream out_;
 };
 
 } // namespace
 
-std::string soakScript(const SoakPlan& plan) { return SoakWriter(plan).write(); }
+std::string soakScript(const SoakPlan& plan) { return SoakScriptGenerator(plan).generate(); }
 
 } // namespace workshatch::scenario
--- a/src/standin/fault_box.h
+++ b/src/standin/injected_faults.h
@@ -1,5 +1,5 @@
 /// @file
-/// Faults of a stand-in, set by flags or over its fault endpoint.
+/// InjectedFaults of a stand-in, set by flags or over its fault endpoint.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 namespace workshatch::standin {
 
 /// Exit code of a stand-in that was told to die, as of a killed process.
-inline constexpr int kDeathExitCode = 137;
+inline constexpr int kKilledExitCode = 137;
 
 /// Belongs to the stand-in's one worker. `"die": true` ends the process at once.
-struct Faults {
+struct InjectedFaults {
   /// Answers wait while this is true.
   bool frozen = false;
   /// Added before each answer, milliseconds.
@@ -47,26 +47,26 @@
     refuse = members.value("refuse", refuse);
     leaving = members.value("leaving", leaving);
     if (members.value("die", false)) {
-      std::_Exit(kDeathExitCode);
+      std::_Exit(kKilledExitCode);
     }
   }
 
   /// Waits as the faults ask for.
-  boost::asio::awaitable<void> pause() const {
-    constexpr std::chrono::milliseconds kFrozenPoll{20};
+  boost::asio::awaitable<void> applyDelay() const {
+    constexpr std::chrono::milliseconds kFrozenPollInterval{20};
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor);
     if (delay_ms > 0) {
       timer.expires_after(std::chrono::milliseconds(delay_ms));
       co_await timer.async_wait(boost::asio::use_awaitable);
     }
     while (frozen) {
-      timer.expires_after(kFrozenPoll);
+      timer.expires_after(kFrozenPollInterval);
       co_await timer.async_wait(boost::asio::use_awaitable);
     }
   }
 
   /// @return whether the connection is to be cut now; counts the cut.
-  bool cutNow(uint32_t events) {
+  bool consumeCut(uint32_t events) {
     if (cut_times == 0 || events < cut_after) {
       return false;
     }
--- a/src/standin/model_runner.cc
+++ b/src/standin/model_runner.cc
@@ -23,8 +23,8 @@
 
 constexpr uint32_t kDefaultMaxTokens = 64;
 /// Each other stream of an engine lengthens a step by this part of it.
-constexpr uint32_t kBatchShare = 32;
-constexpr uint64_t kEventGap = 8;
+constexpr uint32_t kBatchSlowdownDivisor = 32;
+constexpr uint64_t kDroppedEventInterval = 8;
 
 http::awaitable<void> sleepFor(std::chrono::microseconds time) {
   asio::steady_timer timer(co_await asio::this_coro::executor, time);
@@ -65,19 +65,19 @@
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  co_await faults_.pause();
+  co_await faults_.applyDelay();
   if (path == "/v1/chat/completions") {
-    co_await complete(exchange);
+    co_await handleCompletion(exchange);
   } else if (path.starts_with("/v1/requests/")) {
     co_await cancel(exchange);
   } else if (path == "/v1/load") {
-    co_await reportLoad(exchange);
+    co_await sendLoadReport(exchange);
   } else if (path == "/v1/cache-events") {
-    co_await reportCache(exchange);
+    co_await sendCacheEvents(exchange);
   } else if (path == "/v1/kv") {
-    co_await moveCache(exchange);
+    co_await transferCache(exchange);
   } else if (path == "/v1/orders") {
-    co_await takeOrder(exchange);
+    co_await handleOrders(exchange);
   } else {
     http::Response response = refusal(http::Status::not_found, "no such path");
     co_await exchange.respond(std::move(response));
@@ -89,7 +89,7 @@
   return number < engines_.size() ? engines_[number].get() : nullptr;
 }
 
-http::awaitable<void> ModelRunner::complete(http::Exchange& exchange) {
+http::awaitable<void> ModelRunner::handleCompletion(http::Exchange& exchange) {
   const json body = json::parse(exchange.request().body(), nullptr, false);
   Engine* engine = engineOf(exchange);
   if (!body.is_object() || engine == nullptr) {
@@ -109,33 +109,33 @@
                              nullptr, 10);
   job.max_tokens = body.value("max_tokens", kDefaultMaxTokens);
   job.events_sent = numberOf(http::fieldOf(exchange.request(), "Last-Event-ID").value_or("0"));
-  job.prompt_tokens = PrefixCache::tokensOf(job.prompt);
+  job.prompt_tokens = PrefixCache::estimateTokens(job.prompt);
   job.cancelled = std::make_shared<bool>(false);
-  runs_.count(job.id, "");
+  runs_.recordRun(job.id, "");
   running_[job.id] = job.cancelled;
   ++engine->streams;
-  engine->most_streams = std::max(engine->most_streams, engine->streams);
+  engine->peak_streams = std::max(engine->peak_streams, engine->streams);
   sampleLoad();
   co_await enterBatch(*engine, job.priority);
   co_await stream(exchange, *engine, job);
-  --engine->in_batch;
+  --engine->batch_size;
   --engine->streams;
   sampleLoad();
   running_.erase(job.id);
 }
 
 http::awaitable<void> ModelRunner::enterBatch(Engine& engine, int64_t priority) {
-  constexpr std::chrono::milliseconds kPoll{2};
-  const auto place = engine.waiting.insert(priority);
+  constexpr std::chrono::milliseconds kPollInterval{2};
+  const auto queue_entry = engine.waiting_priorities.insert(priority);
   const auto may_enter = [&] {
-    const bool room = options_.max_batch == 0 || engine.in_batch < options_.max_batch;
-    return room && *engine.waiting.rbegin() <= priority;
+    const bool has_capacity = options_.max_batch == 0 || engine.batch_size < options_.max_batch;
+    return has_capacity && *engine.waiting_priorities.rbegin() <= priority;
   };
   while (!may_enter()) {
-    co_await sleepFor(kPoll);
+    co_await sleepFor(kPollInterval);
   }
-  engine.waiting.erase(place);
-  ++engine.in_batch;
+  engine.waiting_priorities.erase(queue_entry);
+  ++engine.batch_size;
 }
 
 http::awaitable<void> ModelRunner::stream(http::Exchange& exchange, Engine& engine, Job job) {
@@ -148,28 +148,29 @@
   if (!co_await exchange.startStream(std::move(head))) {
     co_return;
   }
-  std::string held;
+  std::string delayed_events;
   std::string text;
   // Events 1 to max_tokens carry a token each, the next the usage, the last the end.
   const uint64_t last = job.max_tokens + 2;
   uint32_t sent = 0;
   for (uint64_t number = job.events_sent + 1; number <= last; ++number) {
-    co_await faults_.pause();
-    if (*job.cancelled || exchange.hungUp()) {
+    co_await faults_.applyDelay();
+    if (*job.cancelled || exchange.clientDisconnected()) {
       exchange.abort();
       co_return;
     }
-    if (faults_.cutNow(sent++)) {
+    if (faults_.consumeCut(sent++)) {
       exchange.abort();
       co_return;
     }
-    if (!co_await sendEvents(exchange, job, number, held)) {
+    if (!co_await sendEvents(exchange, job, number, delayed_events)) {
       co_return;
     }
     if (number <= job.max_tokens) {
       const uint32_t others = engine.streams - 1;
       const uint64_t step_us = uint64_t{options_.step_ms} * 1000;
-      co_await sleepFor(std::chrono::microseconds(step_us + step_us * others / kBatchShare));
+      co_await sleepFor(
+          std::chrono::microseconds(step_us + step_us * others / kBatchSlowdownDivisor));
     }
   }
   engine.cache.lookupAndStore(job.prompt);
@@ -177,7 +178,7 @@
 }
 
 http::awaitable<bool> ModelRunner::sendEvents(http::Exchange& exchange, const Job& job,
-                                              uint64_t number, std::string& held) {
+                                              uint64_t number, std::string& delayed_events) {
   std::string text;
   if (faults_.foreign_events) {
     Job other = job;
@@ -188,10 +189,10 @@
   text += eventText(job, number);
   const uint64_t last = job.max_tokens + 2;
   if (faults_.out_of_order && number % 2 == 1 && number + 1 < last) {
-    held = std::move(text);
+    delayed_events = std::move(text);
     co_return true;
   }
-  text += std::exchange(held, std::string());
+  text += std::exchange(delayed_events, std::string());
   co_return co_await exchange.write(text);
 }
 
@@ -239,7 +240,7 @@
   }
 }
 
-http::awaitable<void> ModelRunner::reportLoad(http::Exchange& exchange) {
+http::awaitable<void> ModelRunner::sendLoadReport(http::Exchange& exchange) {
   sampleLoad();
   json report = {{"runner", options_.name}, {"leaving", faults_.leaving}};
   report["streams"] = samples_.front().streams;
@@ -247,7 +248,7 @@
   json most = json::array();
   for (const auto& engine : engines_) {
     now.push_back(engine->streams);
-    most.push_back(engine->most_streams);
+    most.push_back(engine->peak_streams);
   }
   // For tests only; a real runner has no report without a lag.
   report["streams_now"] = now;
@@ -256,14 +257,14 @@
   co_await exchange.respond(std::move(response));
 }
 
-http::awaitable<void> ModelRunner::reportCache(http::Exchange& exchange) {
+http::awaitable<void> ModelRunner::sendCacheEvents(http::Exchange& exchange) {
   co_await sleepFor(std::chrono::milliseconds(options_.event_lag_ms));
   const uint64_t after = numberOf(http::queryParameter(exchange.target(), "after").value_or("0"));
   Engine* engine = engineOf(exchange);
   json events = json::array();
   if (engine != nullptr) {
     for (const CacheEvent& event : engine->cache.eventsAfter(after)) {
-      if (event.sequence % kEventGap != 0) {
+      if (event.sequence % kDroppedEventInterval != 0) {
         events.push_back(
             {{"sequence", event.sequence}, {"stored", event.stored}, {"block", event.block}});
       }
@@ -274,7 +275,7 @@
   co_await exchange.respond(std::move(response));
 }
 
-http::awaitable<void> ModelRunner::moveCache(http::Exchange& exchange) {
+http::awaitable<void> ModelRunner::transferCache(http::Exchange& exchange) {
   Engine* engine = engineOf(exchange);
   if (engine == nullptr) {
     http::Response response = refusal(http::Status::bad_request, "bad X-Engine");
@@ -294,12 +295,12 @@
     co_return;
   }
   engine->cache.importBlocks(body.value("blocks", std::vector<uint64_t>()));
-  const json reply = {{"blocks", engine->cache.blocks()}};
+  const json reply = {{"blocks", engine->cache.blockCount()}};
   http::Response response = jsonResponse(reply);
   co_await exchange.respond(std::move(response));
 }
 
-http::awaitable<void> ModelRunner::takeOrder(http::Exchange& exchange) {
+http::awaitable<void> ModelRunner::handleOrders(http::Exchange& exchange) {
   if (exchange.request().method() == http::Verb::get) {
     const json reply = {{"orders", orders_}};
     http::Response response = jsonResponse(reply);
--- a/src/standin/model_runner.h
+++ b/src/standin/model_runner.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "adapters/http/http_server.h"
-#include "standin/fault_box.h"
+#include "standin/injected_faults.h"
 #include "standin/prefix_cache.h"
 #include "standin/run_record.h"
 
@@ -51,10 +51,10 @@
     explicit Engine(size_t cache_blocks) : cache(cache_blocks) {}
     PrefixCache cache;
     uint32_t streams = 0;
-    uint32_t most_streams = 0;
-    uint32_t in_batch = 0;
+    uint32_t peak_streams = 0;
+    uint32_t batch_size = 0;
     /// Priorities of the streams that wait for a place in the batch.
-    std::multiset<int64_t> waiting;
+    std::multiset<int64_t> waiting_priorities;
   };
   struct Job {
     std::string id;
@@ -71,23 +71,23 @@
     std::vector<uint32_t> streams;
   };
 
-  http::awaitable<void> complete(http::Exchange& exchange);
+  http::awaitable<void> handleCompletion(http::Exchange& exchange);
   http::awaitable<void> stream(http::Exchange& exchange, Engine& engine, Job job);
   http::awaitable<void> enterBatch(Engine& engine, int64_t priority);
   http::awaitable<bool> sendEvents(http::Exchange& exchange, const Job& job, uint64_t number,
-                                   std::string& held);
+                                   std::string& delayed_events);
   std::string eventText(const Job& job, uint64_t number) const;
   http::awaitable<void> cancel(http::Exchange& exchange);
-  http::awaitable<void> reportLoad(http::Exchange& exchange);
-  http::awaitable<void> reportCache(http::Exchange& exchange);
-  http::awaitable<void> moveCache(http::Exchange& exchange);
-  http::awaitable<void> takeOrder(http::Exchange& exchange);
+  http::awaitable<void> sendLoadReport(http::Exchange& exchange);
+  http::awaitable<void> sendCacheEvents(http::Exchange& exchange);
+  http::awaitable<void> transferCache(http::Exchange& exchange);
+  http::awaitable<void> handleOrders(http::Exchange& exchange);
   http::awaitable<void> setFaults(http::Exchange& exchange);
   Engine* engineOf(const http::Exchange& exchange);
   void sampleLoad();
 
   const ModelRunnerOptions options_;
-  Faults faults_;
+  InjectedFaults faults_;
   RunRecord runs_;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::map<std::string, std::shared_ptr<bool>> running_;
--- a/src/standin/plain_service.cc
+++ b/src/standin/plain_service.cc
@@ -22,17 +22,17 @@
     http::Response response = runs_.toResponse();
     co_await exchange.respond(std::move(response));
   } else if (path == "/v1/load") {
-    co_await faults_.pause();
+    co_await faults_.applyDelay();
     const json report = {{"runner", name_}, {"leaving", faults_.leaving}};
     http::Response response =
         http::makeResponse(http::Status::ok, "application/json", report.dump());
     co_await exchange.respond(std::move(response));
   } else {
-    co_await work(exchange);
+    co_await handleRequest(exchange);
   }
 }
 
-http::awaitable<void> PlainService::work(http::Exchange& exchange) {
+http::awaitable<void> PlainService::handleRequest(http::Exchange& exchange) {
   if (faults_.refuse) {
     http::Response response = http::makeProblem(http::Problem{
         .status = http::Status::service_unavailable, .code = "runner", .detail = "refusing work"});
@@ -41,10 +41,10 @@
   }
   const std::string id = http::fieldOf(exchange.request(), "X-Request-Id").value_or("unnamed");
   const std::string key = http::fieldOf(exchange.request(), "Idempotency-Key").value_or("");
-  const uint64_t run = runs_.count(id, key);
-  const uint64_t number = ++total_;
-  co_await faults_.pause();
-  if (faults_.cutNow(0)) {
+  const uint64_t run = runs_.recordRun(id, key);
+  const uint64_t number = ++run_count_;
+  co_await faults_.applyDelay();
+  if (faults_.consumeCut(0)) {
     exchange.abort();
     co_return;
   }
--- a/src/standin/plain_service.h
+++ b/src/standin/plain_service.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "adapters/http/http_server.h"
-#include "standin/fault_box.h"
+#include "standin/injected_faults.h"
 #include "standin/run_record.h"
 
 namespace workshatch::standin {
@@ -20,12 +20,12 @@
   http::awaitable<void> handle(http::Exchange& exchange);
 
 private:
-  http::awaitable<void> work(http::Exchange& exchange);
+  http::awaitable<void> handleRequest(http::Exchange& exchange);
 
   const std::string name_;
-  Faults faults_;
+  InjectedFaults faults_;
   RunRecord runs_;
-  uint64_t total_ = 0;
+  uint64_t run_count_ = 0;
 };
 
 } // namespace workshatch::standin
--- a/src/standin/platform.cc
+++ b/src/standin/platform.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int64_t kMillisecondsPerSecond = 1000;
-constexpr std::string_view kMachinesPrefix = "/v1/machines/";
+constexpr std::string_view kMachinePathPrefix = "/v1/machines/";
 
 http::Response ok(const json& body) {
   return http::makeResponse(http::Status::ok, "application/json", body.dump());
@@ -25,7 +25,7 @@
   versions_.push_back(Version{.at_ms = 0, .machines = std::move(machines)});
 }
 
-const json& Platform::visible(int64_t now_ms) {
+const json& Platform::visibleMachines(int64_t now_ms) {
   while (versions_.size() > 1 && versions_[1].at_ms <= now_ms - lag_ms_) {
     versions_.pop_front();
   }
@@ -35,11 +35,11 @@
 http::awaitable<void> Platform::handle(http::Exchange& exchange) {
   const std::string path(exchange.path());
   if (path == "/v1/machines") {
-    const json reply = {{"machines", visible(SystemClock().monotonicMs())}};
+    const json reply = {{"machines", visibleMachines(SystemClock().monotonicMs())}};
     http::Response response = ok(reply);
     co_await exchange.respond(std::move(response));
-  } else if (path.starts_with(kMachinesPrefix)) {
-    co_await change(exchange, path.substr(kMachinesPrefix.size()));
+  } else if (path.starts_with(kMachinePathPrefix)) {
+    co_await changeMachine(exchange, path.substr(kMachinePathPrefix.size()));
   } else if (path == "/lag") {
     const json body = json::parse(exchange.request().body(), nullptr, false);
     lag_ms_ = body.is_object() ? body.value("lag_ms", lag_ms_) : lag_ms_;
@@ -47,7 +47,7 @@
     http::Response response = ok(reply);
     co_await exchange.respond(std::move(response));
   } else if (path.starts_with("/v1/weights/")) {
-    co_await giveWeights(exchange);
+    co_await serveWeights(exchange);
   } else {
     http::Response response = http::makeProblem(http::Problem{
         .status = http::Status::not_found, .code = "platform", .detail = "no such path"});
@@ -55,7 +55,7 @@
   }
 }
 
-http::awaitable<void> Platform::change(http::Exchange& exchange, const std::string& runner) {
+http::awaitable<void> Platform::changeMachine(http::Exchange& exchange, const std::string& runner) {
   json machines = json::array();
   json changed = {{"runner", runner}};
   for (const json& machine : versions_.back().machines) {
@@ -79,12 +79,12 @@
   co_await exchange.respond(std::move(response));
 }
 
-http::awaitable<void> Platform::giveWeights(http::Exchange& exchange) {
+http::awaitable<void> Platform::serveWeights(http::Exchange& exchange) {
   const int64_t second = SystemClock().monotonicMs() / kMillisecondsPerSecond;
-  if (std::exchange(weights_second_, second) != second) {
-    weights_given_ = 0;
+  if (std::exchange(rate_window_s_, second) != second) {
+    served_in_window_ = 0;
   }
-  if (weights_given_ >= weights_per_second_) {
+  if (served_in_window_ >= weights_per_second_) {
     http::Response response =
         http::makeProblem(http::Problem{.status = http::Status::too_many_requests,
                                         .code = "platform",
@@ -93,7 +93,7 @@
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  ++weights_given_;
+  ++served_in_window_;
   const json reply = {{"weights", std::string(exchange.path())}};
   http::Response response = ok(reply);
   co_await exchange.respond(std::move(response));
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -30,16 +30,16 @@
     nlohmann::json machines;
   };
 
-  http::awaitable<void> change(http::Exchange& exchange, const std::string& runner);
-  http::awaitable<void> giveWeights(http::Exchange& exchange);
-  const nlohmann::json& visible(int64_t now_ms);
+  http::awaitable<void> changeMachine(http::Exchange& exchange, const std::string& runner);
+  http::awaitable<void> serveWeights(http::Exchange& exchange);
+  const nlohmann::json& visibleMachines(int64_t now_ms);
 
   int64_t lag_ms_;
   const uint32_t weights_per_second_;
   /// Oldest first; the first is what shows now.
   std::deque<Version> versions_;
-  int64_t weights_second_ = 0;
-  uint32_t weights_given_ = 0;
+  int64_t rate_window_s_ = 0;
+  uint32_t served_in_window_ = 0;
 };
 
 } // namespace workshatch::standin
--- a/src/standin/prefix_cache.h
+++ b/src/standin/prefix_cache.h
@@ -20,13 +20,13 @@
 /// Not safe for concurrent use.
 class PrefixCache {
 public:
-  explicit PrefixCache(size_t capacity_blocks) : capacity_(capacity_blocks) {}
+  explicit PrefixCache(size_t capacity_blocks) : capacity_blocks_(capacity_blocks) {}
 
   /// Looks a prompt up and stores what is missing.
   /// @return tokens of the prompt that were found, from its start.
   uint64_t lookupAndStore(const std::string& prompt);
 
-  size_t blocks() const { return index_.size(); }
+  size_t blockCount() const { return index_.size(); }
   uint64_t evictions() const { return evictions_; }
   /// Events after `sequence`; older ones than are kept show as a gap.
   std::vector<CacheEvent> eventsAfter(uint64_t sequence) const;
@@ -36,15 +36,15 @@
   void importBlocks(const std::vector<uint64_t>& blocks);
 
   /// Tokens of a text, estimated.
-  static uint64_t tokensOf(const std::string& text);
+  static uint64_t estimateTokens(const std::string& text);
 
 private:
   void store(uint64_t block);
-  void note(bool stored, uint64_t block);
+  void recordEvent(bool stored, uint64_t block);
 
-  const size_t capacity_;
+  const size_t capacity_blocks_;
   /// Least recently used first.
-  std::list<uint64_t> order_;
+  std::list<uint64_t> lru_order_;
   std::unordered_map<uint64_t, std::list<uint64_t>::iterator> index_;
   std::vector<CacheEvent> events_;
   uint64_t next_sequence_ = 1;
--- a/src/standin/run_record.h
+++ b/src/standin/run_record.h
@@ -21,8 +21,8 @@
   /// process; empty: none.
   explicit RunRecord(const std::string& path) {
     if (!path.empty()) {
-      constexpr int kMode = 0600;
-      file_ = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kMode);
+      constexpr int kFileMode = 0600;
+      file_ = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kFileMode);
     }
   }
   ~RunRecord() {
@@ -36,7 +36,7 @@
   /// @param id the request's id
   /// @param key its idempotency key, or empty
   /// @return how often the key, or else the id, has run, this run included.
-  uint64_t count(const std::string& id, const std::string& key) {
+  uint64_t recordRun(const std::string& id, const std::string& key) {
     if (file_ >= 0) {
       const std::string line = id + "\t" + key + "\n";
       // A line that cannot be written would hide a run: the stand-in stops.
--- a/tests/unit/adapters/files_test.cc
+++ b/tests/unit/adapters/files_test.cc
@@ -53,14 +53,14 @@
   return ready;
 }
 
-std::string faultsOf(const std::string& text) {
+std::string validationErrorsFor(const std::string& text) {
   const TemporaryFolder folder;
   const std::filesystem::path path = folder / "settings.json";
   writeText(path, text);
   const auto loaded = settings::loadSettings(path.string());
   std::string all;
-  if (const auto* faults = std::get_if<settings::Faults>(&loaded)) {
-    for (const settings::Fault& fault : *faults) {
+  if (const auto* errors = std::get_if<settings::ValidationErrors>(&loaded)) {
+    for (const settings::ValidationError& fault : *errors) {
       all += fault.pointer + ": " + fault.message + "\n";
     }
   }
@@ -126,17 +126,17 @@
 }
 
 TEST_CASE("all faults of settings are named at once, by pointer, with what was expected") {
-  const std::string faults = faultsOf(R"({
+  const std::string errors = validationErrorsFor(R"({
     "name": "Entry 1", "zone": "a", "control_key": "0123456789abcdef",
     "control_addresses": ["localhost:1"], "colour": "red",
     "router": {"http_address": "127.0.0.1:80", "peer_address": "127.0.0.1:81",
                "peer_key": "short", "platform_address": "127.0.0.1:82", "workers": 0}})");
-  CHECK(faults.find("/name: ") != std::string::npos);
-  CHECK(faults.find("/colour: unknown member") != std::string::npos);
-  CHECK(faults.find("/control_addresses/0: ") != std::string::npos);
-  CHECK(faults.find("/router/peer_key: ") != std::string::npos);
-  CHECK(faults.find("/router/workers: ") != std::string::npos);
-  CHECK(faults.find("threads that serve connections (1 to 64)") != std::string::npos);
+  CHECK(errors.find("/name: ") != std::string::npos);
+  CHECK(errors.find("/colour: unknown member") != std::string::npos);
+  CHECK(errors.find("/control_addresses/0: ") != std::string::npos);
+  CHECK(errors.find("/router/peer_key: ") != std::string::npos);
+  CHECK(errors.find("/router/workers: ") != std::string::npos);
+  CHECK(errors.find("threads that serve connections (1 to 64)") != std::string::npos);
 }
 
 TEST_CASE("settings that others may read are refused") {
@@ -146,7 +146,7 @@
   std::filesystem::permissions(path, std::filesystem::perms::group_read,
                                std::filesystem::perm_options::add);
   const auto loaded = settings::loadSettings(path.string());
-  CHECK(settings::describe(std::get<settings::Faults>(loaded)[0]).find("0600") !=
+  CHECK(settings::describe(std::get<settings::ValidationErrors>(loaded)[0]).find("0600") !=
         std::string::npos);
 }
 
@@ -155,21 +155,21 @@
   writeText(folder / "a.json", R"({"services": [{"name": "s", "kind": "plain",
       "cap_factor": 1.2, "aim_factor": 1.3}], "routes": [{"service": "t"}]})");
   const auto loaded = settings::loadDeclarations(folder.path().string());
-  const auto& faults = std::get<settings::Faults>(loaded);
-  REQUIRE(faults.size() == 2);
-  CHECK(faults[0].pointer == "/services/0/aim_factor");
-  CHECK(faults[1].pointer == "/routes/0/service");
+  const auto& errors = std::get<settings::ValidationErrors>(loaded);
+  REQUIRE(errors.size() == 2);
+  CHECK(errors[0].pointer == "/services/0/aim_factor");
+  CHECK(errors[1].pointer == "/routes/0/service");
 }
 
 TEST_CASE("a datagram with another key or a changed byte is not opened") {
   v1::PeerDatagram datagram;
   datagram.set_sender("entry-1");
-  std::string bytes = datagram::seal(datagram, "a key of sixteen");
-  CHECK(datagram::open(bytes, "a key of sixteen")->sender() == "entry-1");
-  CHECK_FALSE(datagram::open(bytes, "another key of it"));
+  std::string bytes = datagram::encodeDatagram(datagram, "a key of sixteen");
+  CHECK(datagram::decodeDatagram(bytes, "a key of sixteen")->sender() == "entry-1");
+  CHECK_FALSE(datagram::decodeDatagram(bytes, "another key of it"));
   bytes.back() = static_cast<char>(bytes.back() ^ 1);
-  CHECK_FALSE(datagram::open(bytes, "a key of sixteen"));
-  CHECK_FALSE(datagram::open("short", "a key of sixteen"));
+  CHECK_FALSE(datagram::decodeDatagram(bytes, "a key of sixteen"));
+  CHECK_FALSE(datagram::decodeDatagram("short", "a key of sixteen"));
 }
 
 TEST_CASE("events are found whatever the parts of the stream") {
--- a/tests/unit/adapters/http_server_test.cc
+++ b/tests/unit/adapters/http_server_test.cc
@@ -8,10 +8,10 @@
 #include <boost/asio/write.hpp>
 #include <doctest/doctest.h>
 
+#include "adapters/http/blocking_client.h"
 #include "adapters/http/http_client.h"
 #include "adapters/http/http_server.h"
 #include "adapters/http/problem.h"
-#include "adapters/http/simple_get.h"
 
 namespace workshatch::test {
 
@@ -53,7 +53,7 @@
     return limits;
   }
   static http::awaitable<void> answerOk(http::Exchange& exchange) {
-    exchange.closeAfter();
+    exchange.closeAfterResponse();
     http::Response response = http::makeResponse(http::Status::ok, "text/plain", "ok");
     co_await exchange.respond(std::move(response));
   }
@@ -83,7 +83,7 @@
   asio::ip::tcp::socket slow(context);
   slow.connect(*http::parseEndpoint(server.address()));
   asio::write(slow, asio::buffer(std::string("GET / HTTP/1.1\r\nHo")));
-  CHECK(std::get<std::string>(http::simpleGet(server.address(), "/")) == "ok");
+  CHECK(std::get<std::string>(http::blockingGet(server.address(), "/")) == "ok");
   std::string answer;
   boost::system::error_code failure;
   asio::read(slow, asio::dynamic_buffer(answer), failure);
@@ -120,7 +120,7 @@
       http::Request request(http::Verb::get, "/", 11);
       const http::CallOptions options;
       http::CallResult result = co_await client.call(address, std::move(request), options);
-      if (auto* answer = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result)) {
+      if (auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
         co_await (*answer)->readAll(100);
       } else {
         errors.push_back(std::get<http::CallError>(result));
--- a/tests/unit/adapters/log_report_test.cc
+++ b/tests/unit/adapters/log_report_test.cc
@@ -54,7 +54,7 @@
 )");
   std::vector<logging::LogLine> lines;
   logging::readLogLines(input, lines);
-  const auto reports = logging::evacuationsOf(lines);
+  const auto reports = logging::latestEvacuations(lines);
   REQUIRE(reports.size() == 2);
   REQUIRE(reports[0].items.size() == 1);
   CHECK(reports[0].items[0].name == "north");
@@ -73,12 +73,12 @@
 )");
   std::vector<logging::LogLine> lines;
   logging::readLogLines(input, lines);
-  const auto reports = logging::quarantineOf(lines);
+  const auto reports = logging::latestQuarantine(lines);
   REQUIRE(reports.size() == 1);
   REQUIRE(reports[0].items.size() == 1);
   CHECK(reports[0].items[0].name == "01-02");
   CHECK(logging::traceRequest(lines, "01-02").size() == 2);
-  CHECK(logging::evacuationsOf(lines).empty());
+  CHECK(logging::latestEvacuations(lines).empty());
 }
 
 } // namespace workshatch::test
--- a/tests/unit/adapters/relay_settings_test.cc
+++ b/tests/unit/adapters/relay_settings_test.cc
@@ -26,7 +26,8 @@
   REQUIRE(settings != nullptr);
   CHECK(settings->name == "n1");
   CHECK(settings->first_start);
-  CHECK(settings->seedLinks() == std::vector<std::string>{"10.0.0.1:7000", "10.0.0.2:7000"});
+  CHECK(settings->seedLinkAddresses() ==
+        std::vector<std::string>{"10.0.0.1:7000", "10.0.0.2:7000"});
   CHECK(settings->bounds.revoked_key_ms == 4000);
   CHECK(settings->zones.regionOf("z") == "here");
   CHECK(settings->zones.regionOf("y") == "there");
@@ -46,10 +47,10 @@
       R"({"name":"","zone":"z","ip":"x","caller_address":"no","link_port":70000,"seeds":["a"],
           "first_start":1,"runner_list_address":"1.2.3.4:5","bounds":{"repeat_ratio":2},
           "policy":{"place_limits":0,"palce_limits":true}})");
-  const auto* faults = std::get_if<settings::SettingsFaults>(&read);
-  REQUIRE(faults != nullptr);
+  const auto* errors = std::get_if<settings::SettingsErrors>(&read);
+  REQUIRE(errors != nullptr);
   const auto named = [&](const std::string& field) {
-    return std::any_of(faults->begin(), faults->end(),
+    return std::any_of(errors->begin(), errors->end(),
                        [&](const std::string& fault) { return fault.starts_with(field + ":"); });
   };
   for (const char* field : {"name", "caller_address", "link_port", "seeds", "first_start",
@@ -57,7 +58,7 @@
     CAPTURE(field);
     CHECK(named(field));
   }
-  CHECK(std::holds_alternative<settings::SettingsFaults>(settings::parseRelaySettings("{")));
+  CHECK(std::holds_alternative<settings::SettingsErrors>(settings::parseRelaySettings("{")));
 }
 
 } // namespace workshatch::test
--- a/tests/unit/adapters/replica_transport_test.cc
+++ b/tests/unit/adapters/replica_transport_test.cc
@@ -32,17 +32,17 @@
   }
 
   const std::string& address() const { return address_; }
-  bool asked() const { return asked_; }
+  bool helloReceived() const { return hello_received_; }
 
   grpc::Status Hello(grpc::ServerContext*, const v1::HelloRequest*, v1::HelloReply*) override {
-    asked_ = true;
+    hello_received_ = true;
     std::this_thread::sleep_for(kAnswerDelay);
     return grpc::Status::OK;
   }
 
 private:
   std::string address_;
-  std::atomic<bool> asked_{false};
+  std::atomic<bool> hello_received_{false};
   std::unique_ptr<grpc::Server> server_;
 };
 
@@ -52,10 +52,11 @@
 // its role was gone: the callback of the call used what had been destroyed.
 TEST_CASE("No answer to a hello comes after the transport has ended") {
   SlowPeer peer;
-  auto transport = std::make_unique<rpc::GrpcReplicaTransport>("127.0.0.1:1", "key", AddressBook());
+  auto transport =
+      std::make_unique<rpc::GrpcReplicaTransport>("127.0.0.1:1", "key", AddressOverrides());
   const auto answers = std::make_shared<std::atomic<int>>(0);
-  transport->hello(peer.address(), 1, [answers](const v1::HelloReply&) { ++*answers; });
-  REQUIRE(waitUntil([&] { return peer.asked(); }));
+  transport->sendHello(peer.address(), 1, [answers](const v1::HelloReply&) { ++*answers; });
+  REQUIRE(waitUntil([&] { return peer.helloReceived(); }));
 
   transport.reset();
   const int answers_at_the_end = *answers;
--- a/tests/unit/daemon/control/control_fixture.h
+++ b/tests/unit/daemon/control/control_fixture.h
@@ -82,7 +82,7 @@
   /// @param limit after which the operator gives the call up
   grpc::Status status(std::chrono::milliseconds limit, v1::StatusReply& reply) {
     grpc::ClientContext context;
-    rpc::prepare(context, kOperatorToken, limit.count());
+    rpc::setKeyAndDeadline(context, kOperatorToken, limit.count());
     return stub_->Status(&context, v1::StatusRequest(), &reply);
   }
 
@@ -90,7 +90,7 @@
   /// @param limit after which the operator gives the call up
   grpc::Status apply(std::chrono::milliseconds limit) {
     grpc::ClientContext context;
-    rpc::prepare(context, kOperatorToken, limit.count());
+    rpc::setKeyAndDeadline(context, kOperatorToken, limit.count());
     v1::ApplyRequest request;
     request.set_request_id("change");
     v1::ApplyReply reply;
@@ -102,7 +102,7 @@
   /// @param limit after which the operator gives the call up
   grpc::Status replaceReplica(std::chrono::milliseconds limit, uint64_t old_id) {
     grpc::ClientContext context;
-    rpc::prepare(context, kOperatorToken, limit.count());
+    rpc::setKeyAndDeadline(context, kOperatorToken, limit.count());
     v1::ReplaceReplicaRequest request;
     request.set_old_id(old_id);
     request.set_new_id(old_id + 1);
--- a/tests/unit/daemon/fleet/test_fleet.h
+++ b/tests/unit/daemon/fleet/test_fleet.h
@@ -18,7 +18,7 @@
 #include <boost/asio/read_until.hpp>
 #include <doctest/doctest.h>
 
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 #include "adapters/system_clock.h"
 #include "daemon/group/group_role.h"
 #include "daemon/relay/relay_role.h"
@@ -276,7 +276,7 @@
   /// An operator's call. @return the answer; an empty body and status 0 without one.
   http::Response operate(http::Verb method, const std::string& target,
                          const std::string& body = "") const {
-    auto answer = http::simpleCall(at(ipOf(0), 0), method, target, body, {});
+    auto answer = http::blockingCall(at(ipOf(0), 0), method, target, body, {});
     http::Response none;
     none.result(0);
     return isError(answer) ? none : std::get<http::Response>(std::move(answer));
@@ -297,7 +297,7 @@
   size_t relayCount() const { return relays_.size(); }
   /// @return whether the metrics of a relay hold a line.
   bool metricsHave(size_t relay, const std::string& line) const {
-    const auto text = http::simpleGet(metricsAddress(relay), "/metrics");
+    const auto text = http::blockingGet(metricsAddress(relay), "/metrics");
     return !isError(text) && std::get<std::string>(text).find(line + "\n") != std::string::npos;
   }
 
@@ -377,8 +377,8 @@
   }
 
   bool configurationTaken() const {
-    const auto answer = http::simpleCall(at(ipOf(0), 0), http::Verb::post,
-                                         dialect_.paths().put_configuration, "any", {});
+    const auto answer = http::blockingCall(at(ipOf(0), 0), http::Verb::post,
+                                           dialect_.paths().put_configuration, "any", {});
     return !isError(answer) && std::get<http::Response>(answer).result() == http::Status::ok;
   }
 
