--- a/tests/unit/daemon/relay/relay_role_test.cc
+++ b/tests/unit/daemon/relay/relay_role_test.cc
@@ -8,7 +8,7 @@
 #include <boost/asio/post.hpp>
 #include <doctest/doctest.h>
 
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 #include "adapters/link/framed_link.h"
 #include "daemon/relay/relay_role.h"
 #include "unit/daemon/relay/relay_fixture.h"
@@ -106,7 +106,7 @@
                                                .runner_lists = runner_lists});
   REQUIRE_FALSE(isError(role.start()));
   workers.start();
-  const auto ready = [&] { return !isError(http::simpleGet(settings.ready_address, "/ready")); };
+  const auto ready = [&] { return !isError(http::blockingGet(settings.ready_address, "/ready")); };
   REQUIRE(within(kTestTimeout, ready));
 
   std::string answer;
--- a/tests/unit/daemon/router/request_handler_test.cc
+++ b/tests/unit/daemon/router/request_handler_test.cc
@@ -17,7 +17,7 @@
 
 constexpr uint64_t kIncarnation = 7;
 constexpr uint32_t kPermitTimeoutMs = 50;
-constexpr size_t kMostBodyBytes = 65536;
+constexpr size_t kMaxBodyBytes = 65536;
 
 v1::Settings settingsOfRouter() {
   v1::Settings settings;
@@ -35,7 +35,7 @@
             workers_, http::ServerLimits{},
             [this](http::Exchange& exchange) { return handler_.handle(exchange); },
             [this](http::Status status, const std::string& reason) {
-              return handler_.refuse(status, reason);
+              return handler_.makeRefusal(status, reason);
             }) {
     address_ = std::get<std::string>(server_.listen("127.0.0.1:0"));
     workers_.start();
@@ -45,7 +45,7 @@
   RouterWithoutLease& operator=(const RouterWithoutLease&) = delete;
 
   /// Sends the request and returns the answer's X-Execution.
-  std::string executionToldOf(http::Request request) const {
+  std::string executionHeaderFor(http::Request request) const {
     asio::io_context context;
     http::Client client(context);
     std::string execution;
@@ -53,9 +53,9 @@
         context,
         [&]() -> http::awaitable<void> {
           http::CallResult result = co_await client.call(address_, std::move(request), {});
-          auto& answer = *std::get<std::unique_ptr<http::ClientAnswer>>(result);
+          auto& answer = *std::get<std::unique_ptr<http::ClientResponse>>(result);
           execution = answer.header("X-Execution").value_or("missing");
-          co_await answer.readAll(kMostBodyBytes);
+          co_await answer.readAll(kMaxBodyBytes);
         },
         asio::detached);
     context.run();
@@ -66,7 +66,7 @@
   const v1::Settings settings_ = settingsOfRouter();
   SystemClock clock_;
   WorkerPool workers_{1};
-  const AddressBook addresses_{settings_};
+  const AddressOverrides addresses_{settings_};
   metrics::RouterStats stats_;
   daemon::RouterTables tables_{settings_.name(), clock_, routing::HoldDownOptions{}};
   datagram::PeerSocket socket_{workers_.context(0), "key", addresses_, settings_.name(),
@@ -76,16 +76,16 @@
   daemon::EngineSelector selector_{tables_, permits_, clock_, stats_};
   rpc::ControlClient control_{{"127.0.0.1:1"}, "key", addresses_};
   daemon::RequestHandler handler_{
-      daemon::RequestHandler::Parts{.settings = settings_,
-                                    .incarnation = kIncarnation,
-                                    .tables = tables_,
-                                    .permits = permits_,
-                                    .selector = selector_,
-                                    .control = control_,
-                                    .stats = stats_,
-                                    .clock = clock_,
-                                    .workers = workers_,
-                                    .other_metrics = [] { return std::string(); }}};
+      daemon::RequestHandler::Dependencies{.settings = settings_,
+                                           .incarnation = kIncarnation,
+                                           .tables = tables_,
+                                           .permits = permits_,
+                                           .selector = selector_,
+                                           .control = control_,
+                                           .stats = stats_,
+                                           .clock = clock_,
+                                           .workers = workers_,
+                                           .network_metrics = [] { return std::string(); }}};
   http::Server server_;
   std::string address_;
 };
@@ -102,11 +102,11 @@
 
 TEST_CASE("A router without a lease does not say of a request that goes on that it has not run") {
   const RouterWithoutLease router;
-  CHECK(router.executionToldOf(chatRequest()) == "not-run");
+  CHECK(router.executionHeaderFor(chatRequest()) == "not-run");
 
-  http::Request rest = chatRequest();
-  rest.set("Last-Event-ID", "assistant-1/0:3");
-  CHECK(router.executionToldOf(std::move(rest)) == "unknown");
+  http::Request resumed = chatRequest();
+  resumed.set("Last-Event-ID", "assistant-1/0:3");
+  CHECK(router.executionHeaderFor(std::move(resumed)) == "unknown");
 }
 
 } // namespace workshatch::test
--- a/tests/unit/scenario/soak_script_test.cc
+++ b/tests/unit/scenario/soak_script_test.cc
@@ -14,27 +14,27 @@
 namespace {
 
 /// What a drawn scenario leaves disturbed at one moment.
-struct Disturbed {
+struct DisturbedProcesses {
   std::set<std::string> names;
-  std::set<std::string> cut_off;
+  std::set<std::string> partitioned;
 
-  size_t controls() const {
+  size_t disturbedControls() const {
     size_t count = 0;
     for (const char* name : {"entry-1", "entry-2", "entry-3"}) {
-      count += names.contains(name) || cut_off.contains(name) ? 1 : 0;
+      count += names.contains(name) || partitioned.contains(name) ? 1 : 0;
     }
     return count;
   }
 
-  void take(const std::string& command, const std::string& name) {
+  void applyCommand(const std::string& command, const std::string& name) {
     if (command == "kill" || command == "stop" || command == "freeze") {
       names.insert(name);
     } else if (command == "start" || command == "thaw") {
       names.erase(name);
     } else if (command == "cut") {
-      cut_off.insert(name);
+      partitioned.insert(name);
     } else if (command == "heal") {
-      cut_off.clear();
+      partitioned.clear();
     }
   }
 };
@@ -51,25 +51,26 @@
 
 TEST_CASE("A drawn scenario disturbs two control replicas at once, or leaves something disturbed") {
   constexpr uint64_t kSeeds = 200;
-  size_t most_at_once = 0;
+  size_t max_disturbed = 0;
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     std::istringstream lines(scenario::soakScript(scenario::SoakPlan{.seed = seed}));
-    Disturbed disturbed;
+    DisturbedProcesses disturbed;
     for (std::string line; std::getline(lines, line);) {
       std::istringstream words(line);
       std::string command;
       std::string name;
       words >> command >> name;
-      disturbed.take(command, name);
-      CHECK(disturbed.controls() <= 1);
-      most_at_once = std::max(most_at_once, disturbed.names.size() + disturbed.cut_off.size());
+      disturbed.applyCommand(command, name);
+      CHECK(disturbed.disturbedControls() <= 1);
+      max_disturbed =
+          std::max(max_disturbed, disturbed.names.size() + disturbed.partitioned.size());
     }
     CHECK(disturbed.names.empty());
-    CHECK(disturbed.cut_off.empty());
+    CHECK(disturbed.partitioned.empty());
   }
   // Faults do overlap.
-  CHECK(most_at_once >= 3);
+  CHECK(max_disturbed >= 3);
 }
 
 } // namespace workshatch::test
