--- a/src/daemon/relay/active_request_outcome.cc
+++ b/src/daemon/relay/active_request_outcome.cc
@@ -58,7 +58,7 @@
   }
   if (caller_left_) {
     logOutcome("caller_left");
-    exchange_.breakOff();
+    exchange_.closeIncomplete();
     co_return;
   }
   if (reader_cut_) {
@@ -67,9 +67,9 @@
   }
   if (stream_started_) {
     // The caller gets all complete events before the connection is aborted.
-    co_await exchange_.drained(0);
+    co_await exchange_.drainTo(0);
     logOutcome(timed_out_ ? "stream_timed_out" : "stream_broken");
-    exchange_.breakOff();
+    exchange_.closeIncomplete();
     co_return;
   }
   if (failure_ && !timed_out_) {
