--- a/src/cli/log_commands.cc
+++ b/src/cli/log_commands.cc
@@ -28,7 +28,8 @@
   return lines;
 }
 
-/// @param name heading of the items' names
+/// Prints a table with the items that each process had in force.
+/// @param name heading of the column with the items' names
 int printInForce(const char* name, const std::vector<logging::RestrictionReport>& reports) {
   std::printf("%-28s %10s  %-34s %s\n", "process", "version", name, "since_ms");
   for (const logging::RestrictionReport& report : reports) {
--- a/src/cli/log_commands.h
+++ b/src/cli/log_commands.h
@@ -1,5 +1,5 @@
 /// @file
-/// Commands that read log files: `trace`, `outcomes`, `evacuations` and `quarantine`.
+/// Commands that evaluate log files: `trace`, `outcomes`, `evacuations` and `quarantine`.
 #pragma once
 
 #include <string>
@@ -7,18 +7,22 @@
 
 namespace workshatch::cli {
 
-/// Prints the way of one try, or of all tries of a request, through the logs of all processes.
-/// @param files log files; none: standard input
-/// @return exit code; a failure when no line is about the request.
+/// Prints the log lines of all processes about one attempt, or about all attempts of a request,
+/// oldest first.
+/// @param request id of one attempt, or the identity that all attempts of a request share
+/// @param files log files; standard input when empty
+/// @return the exit code; kExitFailure when no line is about the request.
 int runTrace(const std::string& request, const std::vector<std::string>& files);
 
-/// Prints how requests and attempts ended, most frequent first, each with an example.
+/// Prints the outcomes of requests and attempts with their counts, most frequent first, each with
+/// one request as an example.
 int runOutcomes(const std::vector<std::string>& files);
 
-/// Prints which zones each process held for evacuated when its log ended, and since when.
+/// Prints the zones that each process treated as evacuated at the end of its log, and since when.
 int runEvacuations(const std::vector<std::string>& files);
 
-/// Prints which requests each process held to be in quarantine when its log ended, and since when.
+/// Prints the requests that each process treated as quarantined at the end of its log, and since
+/// when.
 int runQuarantine(const std::vector<std::string>& files);
 
 } // namespace workshatch::cli
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// workshatch: the operators' command line.
+/// workshatch: the operators' command-line tool.
 #include <chrono>
 #include <cstdio>
 #include <fstream>
@@ -78,7 +78,7 @@
   options.preserve_proto_field_names = true;
   options.add_whitespace = true;
   std::string text;
-  // Writing a message of the program's own cannot fail.
+  // Serializing a message whose type is compiled into the program cannot fail.
   (void)google::protobuf::util::MessageToJsonString(message, &text, options);
   return text;
 }
