--- a/bench/main.cc
+++ b/bench/main.cc
@@ -1,5 +1,6 @@
 /// @file
-/// workshatch-bench: what the router adds to a request, and slopes of state and work by size.
+/// workshatch-bench: measures the latency that the router adds to a request (`latency`), and how
+/// state and processing time grow with the size of the fleet (`slopes`).
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -41,6 +42,7 @@
 
 // ---- latency ------------------------------------------------------------------------------
 
+/// Where requests are sent: to the back end directly, or through the router.
 struct Endpoint {
   std::string name;
   std::string address;
@@ -88,6 +90,8 @@
   return measurement;
 }
 
+/// @param fraction 0 to 1; 0.5 is the median
+/// @return microseconds; zero when no request succeeded.
 double percentile(const LatencyMeasurement& measurement, double fraction) {
   if (measurement.micros.empty()) {
     return 0;
@@ -97,7 +101,7 @@
   return measurement.micros[index];
 }
 
-/// Processor seconds of a process, user and system.
+/// @return user and system CPU time of a process, in seconds.
 double cpuSeconds(uint64_t pid) {
   std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
   std::string word;
--- a/bench/relay_slopes.cc
+++ b/bench/relay_slopes.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What a relay's list of runners and its choice of one cost, by the number of runners.
+/// Measures the cost of setting and updating a relay's list of runners and of choosing a runner, by
+/// the number of runners.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -20,7 +21,7 @@
   list.set_version(version);
   for (size_t i = 0; i < count; ++i) {
     v1::RunnerEntry& entry = *list.add_runners();
-    // Of one length, so that they are in the order of ids.
+    // All ids have the same length, so that the list is sorted by id.
     entry.set_id("i-" + std::to_string(10'000'000 + i));
     entry.set_service("model");
     entry.set_address("10." + std::to_string(i % 5) + ".7.1:" + std::to_string(1024 + i));
@@ -30,6 +31,7 @@
   return list;
 }
 
+/// @return an update that repeats `kChangedRunners` entries, evenly spread over `list`.
 v1::RunnerListUpdate makeUpdate(const v1::RunnerList& list) {
   v1::RunnerListUpdate update;
   update.set_version(list.version());
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -1,5 +1,6 @@
 /// @file
-/// How a measured figure grows with the size of what it is measured on.
+/// Helpers that time a piece of work, fit a line to measurements at several sizes, and extrapolate
+/// to a target size.
 #pragma once
 
 #include <algorithm>
@@ -55,6 +56,8 @@
   return fit;
 }
 
+/// Prints a row of a Markdown table: the points, the slope and fit of the line through them, and
+/// the value that the line predicts at the size `target_size`.
 inline void printSlope(const std::string& name, const std::string& unit,
                        const std::vector<Point>& points, double target_size) {
   const Fit fit = fitLine(points);
@@ -66,7 +69,8 @@
               target_size, fit.offset + fit.slope * target_size, unit.c_str());
 }
 
-/// Median time of `work` in microseconds, over repeated batches.
+/// @return the median time of one call of `work` in microseconds, over nine batches of `batch`
+/// calls.
 inline double medianMicros(uint32_t batch, const std::function<void()>& work) {
   std::vector<double> times;
   for (int i = 0; i < 9; ++i) {
@@ -80,7 +84,7 @@
   return times[times.size() / 2];
 }
 
-/// Prints the slopes of a relay's work by the runners that it knows.
+/// Prints how the cost of a relay's work grows with the number of runners that it knows.
 void printRelaySlopes();
 
 } // namespace workshatch::bench
