--- a/src/adapters/address_overrides.h
+++ b/src/adapters/address_overrides.h
@@ -1,5 +1,6 @@
 /// @file
-/// Addresses to connect to in place of those that others give out.
+/// Address overrides from the settings, for processes that are reached at an address other than the
+/// one they advertise (port forwarding).
 #pragma once
 
 #include <map>
@@ -9,6 +10,7 @@
 
 namespace workshatch {
 
+/// Maps advertised addresses to the addresses to connect to (setting `address_overrides`).
 /// Immutable after construction; safe for concurrent use.
 class AddressOverrides {
 public:
@@ -19,6 +21,8 @@
     }
   }
 
+  /// @return the override for `address`, or `address` itself if there is none. The reference is
+  /// valid as long as both this object and `address`.
   const std::string& resolve(const std::string& address) const {
     const auto found = overrides_.find(address);
     return found == overrides_.end() ? address : found->second;
--- a/src/adapters/datagram/peer_codec.h
+++ b/src/adapters/datagram/peer_codec.h
@@ -1,5 +1,6 @@
 /// @file
-/// Authenticated datagrams between routers: protobuf body and HMAC-SHA-256.
+/// Encoding of the authenticated datagrams between routers: an HMAC-SHA-256 (32 bytes) followed by
+/// a serialized protobuf message. The content is not encrypted.
 #pragma once
 
 #include <optional>
@@ -10,13 +11,15 @@
 
 namespace workshatch::datagram {
 
-/// Largest datagram sent, so that it fits one MTU of 1500 bytes with IP and UDP headers.
+/// Size limit of an outgoing datagram. With IP and UDP headers it fits an MTU of 1500 bytes, so
+/// that it is not fragmented.
 constexpr size_t kMaxDatagramBytes = 1400;
 
-/// @return code and body as one datagram.
+/// @return the serialized datagram, preceded by its message authentication code.
 std::string encodeDatagram(const v1::PeerDatagram& datagram, const std::string& key);
 
-/// @return the datagram, or nothing when its code is wrong or it is not readable.
+/// Verifies and parses a received datagram.
+/// @return nothing if the authentication code is wrong or the body cannot be parsed.
 std::optional<v1::PeerDatagram> decodeDatagram(std::string_view bytes, const std::string& key);
 
 } // namespace workshatch::datagram
--- a/src/adapters/datagram/peer_socket.h
+++ b/src/adapters/datagram/peer_socket.h
@@ -1,5 +1,5 @@
 /// @file
-/// The UDP socket of one router.
+/// UDP socket over which a router exchanges authenticated datagrams with the other routers.
 #pragma once
 
 #include <atomic>
@@ -17,17 +17,19 @@
 
 namespace workshatch::datagram {
 
+/// Counters of one socket. Safe for concurrent use.
 struct PeerStats {
   std::atomic<uint64_t> sent{0};
   std::atomic<uint64_t> received{0};
   std::atomic<uint64_t> sent_bytes{0};
   std::atomic<uint64_t> received_bytes{0};
-  /// Wrong code, unreadable or too large.
+  /// Received datagrams with a wrong authentication code or an unparsable body, and outgoing ones
+  /// above the size limit.
   std::atomic<uint64_t> dropped{0};
 };
 
-/// Sends and receives datagrams of peers. `send` is safe for concurrent use and never blocks; the
-/// receiver runs on the given worker.
+/// Sends and receives datagrams of peers. `send` is safe for concurrent use and never blocks. The
+/// receiver runs on the event loop passed to the constructor.
 class PeerSocket {
 public:
   using Receiver = std::function<void(const v1::PeerDatagram&)>;
@@ -35,10 +37,13 @@
   PeerSocket(boost::asio::io_context& context, std::string key, AddressOverrides address_overrides,
              std::string name, uint64_t incarnation);
 
+  /// @param address local address, "ip:port"
+  /// @param receiver called for each valid datagram
   Result<std::monostate> open(const std::string& address, Receiver receiver);
   void close();
 
-  /// Sends to a peer's address; sender, incarnation and sequence are filled in.
+  /// Fills in sender, incarnation and sequence number and sends the datagram to a peer. A datagram
+  /// that is too large is dropped.
   void send(const std::string& address, v1::PeerDatagram datagram);
 
   const PeerStats& stats() const { return stats_; }
--- a/src/adapters/datagram/udp_socket.h
+++ b/src/adapters/datagram/udp_socket.h
@@ -1,5 +1,5 @@
 /// @file
-/// A UDP socket on one event loop.
+/// Non-blocking UDP socket on one event loop.
 #pragma once
 
 #include <functional>
@@ -13,8 +13,9 @@
 
 namespace workshatch::datagram {
 
-/// Sends and receives datagrams of up to 2 KB. `send` never blocks: a datagram that the system does
-/// not take is lost, as any may be. The receiver runs on the event loop.
+/// Sends datagrams, and receives datagrams of up to 2 KB. `send` never blocks: a datagram that the
+/// operating system does not accept is dropped, as the network may drop any datagram. The receiver
+/// runs on the event loop.
 class UdpSocket {
 public:
   using Endpoint = boost::asio::ip::udp::endpoint;
@@ -22,11 +23,13 @@
 
   explicit UdpSocket(boost::asio::io_context& context);
 
-  /// @param address "ip:port"
+  /// Binds the socket and starts to receive.
+  /// @param address local address, "ip:port"
   Result<std::monostate> open(const std::string& address, Receiver receiver);
   void close();
 
-  /// @param address "ip:port" @return false when the address can't be read.
+  /// @param address "ip:port"
+  /// @return false if the address cannot be parsed.
   bool send(const std::string& address, std::string_view bytes);
   void send(const Endpoint& to, std::string_view bytes);
 
--- a/src/adapters/disk/file_log_store.cc
+++ b/src/adapters/disk/file_log_store.cc
@@ -81,7 +81,8 @@
   return synced;
 }
 
-/// Replays records of the log file; the first entry is the base.
+/// Applies one record of the log file to the entries and the hard state read so far. The first
+/// entry is the base of the log; a truncation never removes it.
 void replay(const v1::RaftLogRecord& record, std::vector<v1::RaftEntry>& entries,
             v1::RaftHardState& hard_state) {
   switch (record.record_case()) {
@@ -218,7 +219,7 @@
     replay(record, entries, hard_state_);
   }
   raft::RaftLog log(std::move(std::get<v1::RaftSnapshot>(snapshot)), std::move(entries));
-  // A fresh file holds no torn tail and no records that were truncated.
+  // Rewriting the file removes a torn tail and entries that later records truncated.
   if (auto rewritten = rewriteLog(log.entriesWithBase(), hard_state_); isError(rewritten)) {
     return errorOf(rewritten);
   }
@@ -299,9 +300,10 @@
   }
   if (!writeAll(log_file_, bytes) || ::fdatasync(log_file_) != 0) {
     const Error error = systemError("cannot write", folder_ / kLogName);
-    // Drops a part that was written, so that a later record does not stand behind damage.
+    // Removes a partially written record. A later record behind it would turn it from a torn tail
+    // into damage in the middle of the log, with which the replica refuses to start.
     if (::ftruncate(log_file_, static_cast<off_t>(log_size_)) != 0) {
-      return Error{error.message + "; the part written cannot be removed"};
+      return Error{error.message + "; cannot truncate the partially written record"};
     }
     return error;
   }
--- a/src/adapters/disk/file_log_store.h
+++ b/src/adapters/disk/file_log_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// A control replica's log, snapshot and identity as files in one data folder.
+/// Stores the Raft log, snapshot and identity of a replica as files in one data folder.
 #pragma once
 
 #include <filesystem>
@@ -11,13 +11,14 @@
 namespace workshatch::disk {
 
 /// Files: `identity` (decimal number), `raft.log` (framed records), `raft.snapshot` (one record),
-/// `lock` (held while the process runs).
+/// `lock` (locked while the process runs, so that no second process uses the folder).
 ///
-/// A record is a header of magic number, payload length and CRC-32C, each 32 bits little-endian,
-/// followed by the payload. All writes of one call are synced once, before it returns.
+/// A record consists of a magic number, the payload length and a CRC-32C, each 32 bits
+/// little-endian, followed by the payload. Each call syncs its writes to disk before it returns.
+/// Not safe for concurrent use.
 class FileLogStore : public LogStore {
 public:
-  /// @param random draws the identity of an empty folder; outlives the store.
+  /// @param random generates the identity of an empty folder; must outlive the store.
   FileLogStore(std::filesystem::path folder, Random& random);
   ~FileLogStore() override;
   FileLogStore(const FileLogStore&) = delete;
@@ -43,7 +44,7 @@
   Random& random_;
   int log_file_ = -1;
   int lock_file_ = -1;
-  /// Length of the log file up to the last record that was synced.
+  /// Length in bytes of the log file up to the end of the last synced record.
   uint64_t log_size_ = 0;
   v1::RaftHardState hard_state_;
 };
--- a/src/adapters/disk/record_file.cc
+++ b/src/adapters/disk/record_file.cc
@@ -35,7 +35,7 @@
   return crc.checksum();
 }
 
-/// @return whether a whole, undamaged record starts at `offset`.
+/// @return whether a complete record with a correct checksum starts at `offset`.
 bool hasValidRecordAt(const std::string& content, size_t offset) {
   if (content.size() - offset < kHeaderSize || readNumber(content, offset) != kMagic) {
     return false;
@@ -48,6 +48,7 @@
   return checksumOf(payload) == readNumber(content, offset + kChecksumOffset);
 }
 
+/// @return whether a valid record starts at any position after `offset`.
 bool hasRecordAfter(const std::string& content, size_t offset) {
   for (size_t position = offset + 1; position + kHeaderSize <= content.size(); ++position) {
     if (hasValidRecordAt(content, position)) {
--- a/src/adapters/disk/record_file.h
+++ b/src/adapters/disk/record_file.h
@@ -1,5 +1,5 @@
 /// @file
-/// Framing of records: magic number, length, CRC-32C, payload.
+/// Framing of the records in log and snapshot files: magic number, length, CRC-32C, payload.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,17 @@
 /// Appends one framed record to `out`.
 void appendRecord(std::string& out, std::string_view payload);
 
+/// The records read from a file.
 struct RecordScan {
   std::vector<std::string> payloads;
-  /// Bytes up to the end of the last whole record; what follows is a torn tail.
+  /// Bytes up to the end of the last complete record; the rest is a torn tail.
   uint64_t valid_size = 0;
 };
 
-/// Reads all records of `content`. An incomplete or damaged end is a torn tail; damage with a whole
-/// record behind it is an error.
-/// @param name the file's name, for the error.
+/// Reads all records of `content`. An incomplete or damaged record at the end is a torn tail, left
+/// by a crash during a write, and is skipped. A damaged record that is followed by a valid one is
+/// an error.
+/// @param name name of the file, for the error message.
 Result<RecordScan> scanRecords(const std::string& content, const std::string& name);
 
 } // namespace workshatch::disk
--- a/src/adapters/http/blocking_client.cc
+++ b/src/adapters/http/blocking_client.cc
@@ -16,7 +16,8 @@
 
 constexpr std::chrono::seconds kTimeout{30};
 
-/// Runs one asynchronous step to its end, so that its time limit applies.
+/// Runs one asynchronous operation until it completes. Synchronous operations would ignore the
+/// timeout of the stream.
 template <typename Start> beast::error_code runStep(boost::asio::io_context& context, Start start) {
   beast::error_code result;
   start([&result](beast::error_code failure, auto&&...) { result = failure; });
--- a/src/adapters/http/blocking_client.h
+++ b/src/adapters/http/blocking_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// One HTTP request from a program without an event loop of its own.
+/// Blocking HTTP requests, for programs and tests without an event loop.
 #pragma once
 
 #include <string>
@@ -10,17 +10,20 @@
 
 namespace workshatch::http {
 
+/// A header field of a request.
 struct RequestHeader {
   std::string name;
   std::string value;
 };
 
-/// Sends a request and waits for its whole answer.
-/// @return an error when the call failed; an answer with any status is a value.
+/// Sends a request on a new connection and waits for the complete response, for at most 30 s in
+/// total.
+/// @return the response, whatever its status; an error if there was none.
 Result<Response> blockingCall(const std::string& address, Verb method, const std::string& target,
                               const std::string& body, const std::vector<RequestHeader>& headers);
 
-/// @return the body of an answer with status 200, else an error.
+/// Sends a GET request.
+/// @return the body of a response with status 200; an error otherwise.
 Result<std::string> blockingGet(const std::string& address, const std::string& target);
 
 } // namespace workshatch::http
--- a/src/adapters/http/event_stream.h
+++ b/src/adapters/http/event_stream.h
@@ -1,5 +1,5 @@
 /// @file
-/// Server-sent events (text/event-stream): parsing and writing.
+/// Parser and formatter for server-sent events (text/event-stream).
 #pragma once
 
 #include <optional>
@@ -13,22 +13,23 @@
   std::string data;
 };
 
-/// Takes the bytes of a stream in any parts and gives whole events.
+/// Incremental parser: accepts the bytes of a stream in pieces of any size and returns complete
+/// events. Events without data are skipped.
 class EventStreamParser {
 public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
 
-  /// The next whole event, if there is one.
+  /// @return the next complete event, or nothing until more bytes are fed.
   std::optional<ServerSentEvent> next();
 
 private:
   std::string buffer_;
 };
 
-/// @return the event's text with its blank line.
+/// @return the event in the stream format, with the blank line that ends it.
 std::string formatEvent(const ServerSentEvent& event);
 
-/// Data of the event that ends a stream of completions.
+/// Data of the event that marks the end of a stream of completions.
 inline constexpr std::string_view kDoneData = "[DONE]";
 
 } // namespace workshatch::http
--- a/src/adapters/http/http_client.cc
+++ b/src/adapters/http/http_client.cc
@@ -26,7 +26,7 @@
       .phase = phase, .timed_out = failure == beast::error::timeout, .message = failure.message()};
 }
 
-/// Clears the pointer to the stream when a call ends.
+/// Gives a CallCancel access to the stream while the call is in progress.
 class CancelScope {
 public:
   CancelScope(CallCancel* cancel, beast::tcp_stream*& slot, beast::tcp_stream* stream)
@@ -120,7 +120,8 @@
   while (!streams.empty()) {
     Stream stream = std::move(streams.back());
     streams.pop_back();
-    // A connection with something to read was closed, or is out of step.
+    // Pending input on an idle connection means that the server closed it, or that a response
+    // arrived for which there is no request. Neither connection is usable.
     beast::error_code failure;
     char byte = 0;
     const ssize_t count =
@@ -204,8 +205,9 @@
       if (error == nullptr || error->timed_out || cancelled) {
         co_return result;
       }
-      // The other side closed the kept connection; once more on a new one. Whatever comes of that,
-      // the request may have been seen.
+      // The server probably closed the idle connection. Retries once on a new connection. The
+      // server may have received the first request, so the reported phase is never earlier than its
+      // phase.
       phase = error->phase;
     }
   }
--- a/src/adapters/http/http_client.h
+++ b/src/adapters/http/http_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP/1.1 client on Boost.Beast with streamed answers and kept connections.
+/// HTTP/1.1 client on Boost.Beast with streamed responses and persistent connections.
 #pragma once
 
 #include <chrono>
@@ -18,33 +18,36 @@
 
 namespace workshatch::http {
 
-/// How far a call came before it failed.
+/// How far a call got before it failed. Decides whether the request may have been executed.
 enum class CallPhase {
-  /// No byte was written: the other side has not seen the request.
+  /// No byte was written: the server has not received the request.
   NotSent,
   /// At least one byte may have been written.
   Sent,
 };
 
+/// Why a call failed.
 struct CallError {
   CallPhase phase = CallPhase::NotSent;
   bool timed_out = false;
   std::string message;
-  /// Nobody listened at the address.
+  /// The connection was refused: no process listens at the address.
   bool refused = false;
 };
 
 struct CallOptions {
-  /// Never uses a kept connection.
+  /// Opens a new connection even if an idle one exists.
   bool fresh_connection = false;
   std::chrono::milliseconds connect_timeout{1000};
-  /// Bound on the time to the answer's header and on each later read.
+  /// Limit on the time from sending the request to receiving the response header, and on each read
+  /// of the body.
   std::chrono::milliseconds read_timeout{30'000};
 };
 
 class Client;
 
-/// An answer whose body is read in parts. Lives on the worker that made the call.
+/// A response whose body is read in parts. Used only on the worker that made the call. The client
+/// must outlive it, since the connection returns to the client after the last read.
 class ClientResponse {
 public:
   ClientResponse(Client& client, std::string address);
@@ -54,14 +57,14 @@
     return fieldOf(parser_.get(), name);
   }
 
-  /// One part of the body; empty at its end.
+  /// @return the next part of the body; empty at the end of the body.
   awaitable<std::variant<std::string, CallError>> read();
-  /// The rest of the body, at most `limit` bytes.
+  /// @return the rest of the body, or an error if it has more than `limit` bytes.
   awaitable<std::variant<std::string, CallError>> readAll(size_t limit);
 
   void setReadTimeout(std::chrono::milliseconds timeout) { read_timeout_ = timeout; }
 
-  /// Closes the connection; a read in progress fails.
+  /// Closes the connection. A read in progress fails.
   void cancel();
 
 private:
@@ -75,13 +78,14 @@
   bool cancelled_ = false;
 };
 
-/// @return for how many milliseconds the server wants no further calls: it turned this one away
-/// (429, 503) and told a time. Nothing: it did not, or its time can't be read.
+/// @return the time in milliseconds for which the server asks the client to send no requests: the
+/// Retry-After header of a response with status 429 or 503. Nothing for other responses, or if the
+/// header is missing or cannot be parsed.
 std::optional<uint32_t> requestedBackoffMs(const ClientResponse& response);
 
 using CallResult = std::variant<std::unique_ptr<ClientResponse>, CallError>;
 
-/// Stops a call from outside. Lives on the worker that makes the call.
+/// Cancels a call in progress. Used only on the worker that makes the call; must outlive the call.
 class CallCancel {
 public:
   void cancel();
@@ -94,12 +98,15 @@
   bool cancelled_ = false;
 };
 
-/// Calls from one worker; not safe for concurrent use.
+/// Makes calls on one worker and keeps idle connections for reuse. Not safe for concurrent use.
 class Client {
 public:
   explicit Client(boost::asio::io_context& context) : context_(context) {}
 
-  /// Sends a request and reads the answer's header.
+  /// Sends a request and reads the header of the response. Retries once on a new connection if an
+  /// idle connection fails other than by a timeout or `cancel`; the retry may then execute the
+  /// request a second time.
+  /// @param cancel cancels the call from outside; may be null.
   awaitable<CallResult> call(const std::string& address, Request request, CallOptions options,
                              CallCancel* cancel = nullptr);
 
--- a/src/adapters/http/http_server.cc
+++ b/src/adapters/http/http_server.cc
@@ -28,7 +28,8 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-/// Watches a connection for its end while a request is in progress, without reading from it.
+/// Detects that the client closes the connection while its request is in progress. It only peeks,
+/// so that pipelined bytes stay in the socket.
 class DisconnectMonitor : public std::enable_shared_from_this<DisconnectMonitor> {
 public:
   explicit DisconnectMonitor(Exchange* exchange) : exchange_(exchange) {}
@@ -53,7 +54,8 @@
   Exchange* exchange_;
 };
 
-/// Cancels what a stream is reading when its time is over; the stream stays open.
+/// Cancels the read of a stream when the time limit is reached. The stream stays open, so that a
+/// response can still be sent.
 class ReadDeadline {
 public:
   ReadDeadline(beast::tcp_stream& stream, std::chrono::milliseconds limit)
@@ -66,7 +68,7 @@
     });
   }
 
-  /// Ends the watch. @return whether the time was over before.
+  /// Stops the timer. @return whether the deadline had expired.
   bool finish() {
     state_->finished = true;
     timer_.cancel();
@@ -176,7 +178,8 @@
 
 awaitable<void> Exchange::writeBacklog() {
   while (!backlog_.empty() && !broken_) {
-    // A caller may take as long for each part as for a small answer.
+    // The timeout applies to each write, so a slow client is not cut off because of the size of the
+    // backlog.
     constexpr size_t kMaxWriteBytes = size_t{16} * 1024;
     const std::string part = backlog_.substr(0, kMaxWriteBytes);
     backlog_.erase(0, part.size());
@@ -354,7 +357,8 @@
   response.keep_alive(false);
   stream.expires_after(limits_().read_timeout);
   co_await beast::http::async_write(stream, response, kAwait);
-  // Closing with unread input would reset the connection and lose the answer.
+  // Closing a socket with unread input resets the connection, and the client may lose the response.
+  // So the input is read and discarded, up to a limit in bytes and time.
   beast::error_code ignored;
   stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
   constexpr size_t kMaxDiscardedBytes = 1U << 20U;
@@ -371,7 +375,8 @@
   }
 }
 
-/// Waits for the first bytes of a request. @return false when the connection is over.
+/// Waits for the first bytes of a request. @return false if the connection was closed, failed or
+/// was idle for too long.
 awaitable<bool> Server::awaitRequest(beast::tcp_stream& stream, beast::flat_buffer& buffer) {
   constexpr size_t kFirstRead = 4096;
   {
@@ -404,7 +409,7 @@
     parser.header_limit(limits.header_bytes);
     parser.body_limit(limits.body_bytes);
     stream.expires_never();
-    // A time limit of the stream's own would close it, and the caller would get no answer.
+    // The timeout of the stream itself would close it, and the client would get no 408 response.
     ReadDeadline deadline(stream, limits.read_timeout);
     auto [failure, bytes] = co_await beast::http::async_read(stream, buffer, parser, kAwait);
     if (deadline.finish()) {
--- a/src/adapters/http/http_server.h
+++ b/src/adapters/http/http_server.h
@@ -1,5 +1,6 @@
 /// @file
-/// HTTP/1.1 server on Boost.Beast with limits against callers that send too much or too slowly.
+/// HTTP/1.1 server on Boost.Beast, with limits on the size of requests, the number of connections
+/// and the time for which a client may block a connection.
 #pragma once
 
 #include <atomic>
@@ -21,17 +22,19 @@
 
 namespace workshatch::http {
 
+/// Limits of one server.
 struct ServerLimits {
   uint32_t header_bytes = 16U * 1024;
   uint64_t body_bytes = 4ULL * 1024 * 1024;
   size_t connections = 1024;
-  /// How long a connection may wait for its next request.
+  /// How long a connection may stay idle between requests.
   std::chrono::milliseconds idle_timeout{60'000};
-  /// How long a request may take to arrive whole, and a caller to take a part of the answer.
+  /// How long a request may take to arrive completely, and a client to accept each write of the
+  /// response.
   std::chrono::milliseconds read_timeout{10'000};
 };
 
-/// One request and the answer to it. Lives on the worker of its connection.
+/// One request and its response. Used only on the worker of its connection.
 class Exchange {
 public:
   Exchange(boost::beast::tcp_stream& stream, Request request, std::chrono::milliseconds timeout,
@@ -40,46 +43,55 @@
   const Request& request() const { return request_; }
   std::string_view target() const { return viewOf(request_.target()); }
   std::string_view path() const { return pathOf(target()); }
-  /// Address and port of the connection's other end.
+  /// Address and port of the client; empty if they are unknown.
   std::string peer() const;
 
-  /// Sends a whole answer. @return false when the caller is gone.
+  /// Sends a complete response. @return false if the connection failed.
   awaitable<bool> respond(Response response);
 
-  /// Starts an answer whose length is not known yet; its body follows by `write` and `finish`.
+  /// Sends the header of a response of unknown length. The body follows with `write` or `send`, and
+  /// `finish`. @return false if the connection failed.
   awaitable<bool> startStream(Response head);
+  /// Writes a chunk of the body and waits until it is written.
+  /// @return false if the connection failed.
   awaitable<bool> write(std::string_view data);
-  /// As `write`, without waiting: what the caller does not take at once is held here and written as
-  /// the caller reads.
+  /// Queues a chunk of the body without waiting. It is buffered here and written as the client
+  /// reads.
   void send(std::string_view data);
-  /// Waits until at most so many bytes are held. @return false when the caller is gone.
+  /// Waits until at most `max_bytes` are buffered. @return false if the connection failed.
   awaitable<bool> drainTo(size_t max_bytes);
-  /// Waits for what is held, then ends the answer.
+  /// Waits until the buffer is empty, then writes the last chunk of the response.
+  /// @return false if the connection failed.
   awaitable<bool> finish();
 
-  /// Bytes of the answer that the caller has not taken, and that it has.
+  /// Bytes of the response that were queued by `send` and are not written yet.
   size_t bufferedBytes() const { return backlog_.size() + writing_bytes_; }
+  /// Bytes queued by `send` that were written to the connection since the response began.
   uint64_t writtenBytes() const { return written_bytes_; }
-  /// `hook` runs on this worker each time `bufferedBytes` changes.
+  /// Sets a hook that runs on this worker each time `bufferedBytes` changes; null removes it.
   void onBufferedBytesChange(std::function<void()> hook) { buffered_bytes_hook_ = std::move(hook); }
-  /// Waits until nothing is being written any more; the exchange must not end before.
+  /// Waits until no write is in progress. The exchange must not be destroyed before.
   awaitable<void> awaitWrites();
 
-  /// Whether the caller still takes the answer.
+  /// Whether the connection has neither failed nor been closed.
   bool isWritable() const { return !broken_; }
+  /// Whether a response was started, or is no longer possible since the connection was closed.
   bool responseStarted() const { return response_started_; }
   bool keepAlive() const { return keep_alive_ && !broken_; }
-  /// Closes the connection after this answer.
+  /// Closes the connection after this response.
   void closeAfterResponse() { keep_alive_ = false; }
-  /// Ends the connection without a further byte; bytes under way may be lost.
+  /// Resets the connection (RST) at once. Bytes that the client has not received may be lost.
   void abort();
-  /// Ends the connection after what was written, without the end of the answer.
+  /// Closes the connection without the end of a streamed response, so that the client sees that the
+  /// response is incomplete. Bytes already written are delivered; buffered ones are dropped.
   void closeIncomplete();
 
-  /// Whether the caller has closed its connection.
+  /// Whether the client has closed its connection.
   bool clientDisconnected() const { return client_disconnected_; }
-  /// `hook` runs once, on this worker, when the caller closes its connection.
+  /// Sets a hook that runs once, on this worker, when the client closes its connection; at once if
+  /// it has already. Null removes the hook.
   void onDisconnect(std::function<void()> hook);
+  /// Marks the connection as closed by the client and runs the hook.
   void handleDisconnect();
 
 private:
@@ -95,14 +107,15 @@
   awaitable<void> writeBacklog();
   void notifyBufferedBytesChange();
 
-  /// Not written yet, framed as chunks.
+  /// Body bytes that are not written yet, with their chunk framing.
   std::string backlog_;
-  /// The writer runs, and has so many bytes under way.
+  /// Whether `writeBacklog` is running, and the size of the write in progress.
   bool writing_ = false;
   size_t writing_bytes_ = 0;
   uint64_t written_bytes_ = 0;
   std::function<void()> buffered_bytes_hook_;
-  /// Cancelled each time `bufferedBytes` changes.
+  /// Never expires. It is cancelled each time `bufferedBytes` changes, to wake the coroutines that
+  /// wait for such a change.
   boost::asio::steady_timer buffered_bytes_timer_;
 };
 
@@ -114,30 +127,32 @@
   std::atomic<uint64_t> bad_requests{0};
 };
 
-/// Accepts connections and runs the handler for each request. Methods are safe for concurrent use.
+/// Accepts connections and runs the handler for each request, on the worker of the connection.
+/// Methods are safe for concurrent use.
 class Server {
 public:
   using Handler = std::function<awaitable<void>(Exchange&)>;
-  /// Makes the answer to a request that the server itself refuses.
+  /// Builds the response to a request that the server itself rejects.
   using ErrorResponder = std::function<Response(Status status, const std::string& reason)>;
-  /// Gives the limits in force for the next request.
+  /// @return the limits for the next connection or request.
   using LimitsSource = std::function<ServerLimits()>;
 
   Server(WorkerPool& workers, LimitsSource limits, Handler handler, ErrorResponder error_responder);
   Server(WorkerPool& workers, ServerLimits limits, Handler handler, ErrorResponder error_responder);
   ~Server();
 
-  /// @return the address in use, which matters for port zero.
+  /// Starts to accept connections. @return the bound address; with port zero the operating system
+  /// chooses the port.
   Result<std::string> listen(const std::string& address);
 
-  /// Accepts no more connections; requests in progress go on.
+  /// Stops accepting connections. Requests in progress continue.
   void stopAccepting();
-  /// Closes connections that wait for their next request.
+  /// Closes idle connections.
   void closeIdle();
-  /// Answers from now on close their connection.
+  /// From now on connections are closed after their next response.
   void closeConnections() { closing_ = true; }
 
-  /// Requests that a handler is working on.
+  /// Number of requests whose handler is running.
   size_t requestsInProgress() const { return in_progress_.load(); }
   const ServerStats& stats() const { return stats_; }
 
@@ -157,7 +172,7 @@
   std::atomic<size_t> in_progress_{0};
   ServerStats stats_;
   std::mutex idle_mutex_;
-  /// Connections that wait for their next request; guarded by idle_mutex_.
+  /// Connections between requests; guarded by idle_mutex_.
   std::set<boost::beast::tcp_stream*> idle_;
 };
 
--- a/src/adapters/http/http_types.h
+++ b/src/adapters/http/http_types.h
@@ -1,5 +1,5 @@
 /// @file
-/// Types shared by the HTTP server and client.
+/// Types and helper functions shared by the HTTP server and client.
 #pragma once
 
 #include <optional>
@@ -26,7 +26,7 @@
   return {text.data(), text.size()};
 }
 
-/// @return the field's value, or nothing when it is missing or empty.
+/// @return the value of a header field, or nothing if it is missing or empty.
 template <typename Fields>
 std::optional<std::string> fieldOf(const Fields& fields, std::string_view name) {
   const auto found = fields.find(boost::beast::string_view(name.data(), name.size()));
@@ -36,9 +36,10 @@
   return std::string(viewOf(found->value()));
 }
 
-/// Sets a header. The one place where values of outside origin become headers: a value that could
-/// end its header or begin another message is left out.
-/// @return whether the header was set.
+/// Sets a header field unless its name or value is invalid. All values from outside become header
+/// fields through this function, which prevents header injection: a value with a line break could
+/// end the field or begin another message.
+/// @return whether the field was set.
 template <typename Fields>
 bool setHeader(Fields& fields, std::string_view name, std::string_view value) {
   if (!isHeaderName(name) || !isHeaderValue(value)) {
@@ -49,17 +50,17 @@
   return true;
 }
 
-/// Parses "ip:port", IPv6 in brackets.
-/// @return nothing when the text is not an IP literal with a port.
+/// Parses "ip:port", with IPv6 addresses in brackets.
+/// @return nothing if the text is not an IP literal with a port.
 std::optional<boost::asio::ip::tcp::endpoint> parseEndpoint(std::string_view text);
 
-/// @return a response with a body; `Content-Length` is set.
+/// @return a response with a body and a `Content-Length`.
 Response makeResponse(Status status, std::string_view content_type, std::string body);
 
-/// @return the value of a query parameter of a request target, percent-decoded, or nothing.
+/// @return the percent-decoded value of a query parameter of a request target, or nothing.
 std::optional<std::string> queryParameter(std::string_view target, std::string_view name);
 
-/// @return the target without its query.
+/// @return the request target without its query.
 std::string_view pathOf(std::string_view target);
 
 } // namespace workshatch::http
--- a/src/adapters/http/runner_connection.cc
+++ b/src/adapters/http/runner_connection.cc
@@ -21,16 +21,18 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kReadSize = 4096;
-/// An answer's header may be this long.
+/// Size limit of the header of a response.
 constexpr uint32_t kHeaderBytes = 32U * 1024;
 constexpr std::chrono::milliseconds kPeerTimeout{1500};
 constexpr size_t kMaxIdlePerAddress = 8;
-/// Kept without a word of the runner on how long it keeps a connection.
+/// Keep-alive time if the runner sends no Keep-Alive header.
 constexpr int64_t kDefaultKeepAliveMs = 3000;
 constexpr int64_t kMaxKeepAliveMs = 20'000;
 constexpr int64_t kMillisecondsPerSecond = 1000;
 
-/// How long the other side keeps an idle connection, less a part for what is under way.
+/// How long an idle connection is kept: 70% of the timeout in the runner's Keep-Alive header, with
+/// an upper limit. The margin prevents a request from being sent on a connection that the runner is
+/// just closing. A header without a timeout gives zero.
 int64_t keepAliveMsOf(const beast::http::response_header<>& head) {
   const auto found = head.find(Field::keep_alive);
   if (found == head.end()) {
--- a/src/adapters/http/runner_connection.h
+++ b/src/adapters/http/runner_connection.h
@@ -1,6 +1,7 @@
 /// @file
-/// Connections to back ends on which every byte is accounted for: what was sent, and whether the
-/// next answer on the connection can only be the one that is due.
+/// HTTP/1.1 connections to runners, and a pool of idle ones. A connection is reused only if the
+/// previous request was sent and answered completely and nothing else arrived, so that a response
+/// is never matched to the wrong request.
 #pragma once
 
 #include <chrono>
@@ -24,39 +25,44 @@
 
 namespace workshatch::http {
 
-/// One connection. Lives on one event loop.
+/// One connection. Used only on its event loop.
 class RunnerConnection : public std::enable_shared_from_this<RunnerConnection> {
 public:
   explicit RunnerConnection(boost::asio::io_context& context) : socket_(context), timer_(context) {}
 
-  /// @return nothing on success.
+  /// Opens the connection. @return an error, or nothing on success.
   awaitable<std::optional<CallError>> connect(const boost::asio::ip::tcp::endpoint& endpoint,
                                               std::chrono::milliseconds timeout);
 
-  /// Sends a request and reads the answer's header; both at the same time, since a runner may
-  /// answer before it has read the whole body.
-  /// @param request head and body as sent
-  /// @param silence longest wait for the answer's first byte; zero: as long as it takes
+  /// Sends a request and concurrently reads the header of the response, since a runner may respond
+  /// before it has read the whole body.
+  /// @param request serialized head and body
+  /// @param timeout longest wait for the header of the response; zero means no limit
+  /// @return an error, or nothing on success.
   awaitable<std::optional<CallError>> exchange(std::string request,
                                                std::chrono::milliseconds timeout);
 
-  /// Of the answer, after `exchange`.
+  /// Header of the response; valid after a successful `exchange`.
   const boost::beast::http::response_header<>& head() const { return parser_->get().base(); }
 
-  /// One part of the body; empty at its end.
+  /// @param timeout longest wait for the next bytes; zero means no limit
+  /// @return the next part of the body; empty at the end of the body.
   awaitable<std::variant<std::string, CallError>> read(std::chrono::milliseconds timeout);
 
-  /// Ends the connection; what is in progress on it fails.
+  /// Closes the connection. Operations in progress fail.
   void close();
 
-  /// @return whether the answer ended whole, the request was sent whole, and nothing else came, so
-  /// that the next request may follow.
+  /// @return whether another request may be sent: the last request was sent completely, its
+  /// response was received completely and allows it, and no further bytes arrived.
   bool reusable() const;
 
-  /// @return whether nothing is to be read, as on a connection that waits for a request.
+  /// @return whether the connection is open and has no unread input, as expected of an idle
+  /// connection.
   bool hasNoPendingInput();
 
 private:
+  /// Closes the connection after the given time unless the timer is restarted; zero stops the
+  /// timer.
   void startReadTimer(std::chrono::milliseconds timeout);
   CallError makeError(CallPhase phase, boost::system::error_code error) const;
 
@@ -71,16 +77,17 @@
   uint64_t timeout_generation_ = 0;
 };
 
-/// Connections that wait for their next request, by address. Lives on one event loop.
+/// Pool of idle connections, by address. Used only on one event loop.
 class RunnerConnectionPool {
 public:
   explicit RunnerConnectionPool(const Clock& clock) : clock_(clock) {}
 
-  /// @return a connection that may be used, or null.
+  /// Removes a usable connection from the pool. @return null if there is none.
   std::shared_ptr<RunnerConnection> acquire(const std::string& address);
-  /// Keeps a reusable connection for as long as the runner's answer allows.
+  /// Adds a reusable connection to the pool, for as long as the Keep-Alive header of the runner's
+  /// last response allows.
   void release(const std::string& address, std::shared_ptr<RunnerConnection> connection);
-  /// Closes connections that have waited too long.
+  /// Closes connections whose keep-alive time has expired.
   void dropExpired();
 
 private:
--- a/src/adapters/link/framed_link.cc
+++ b/src/adapters/link/framed_link.cc
@@ -21,7 +21,8 @@
 constexpr size_t kMaxFrameBytes = size_t{16} * 1024 * 1024;
 constexpr size_t kMaxQueuedBytes = size_t{16} * 1024 * 1024;
 constexpr size_t kReadBytes = 2048;
-/// An input buffer that grew beyond this is given back once it is empty.
+/// An empty input buffer with more capacity than this is freed, so that one large frame does not
+/// take memory for as long as the link lives.
 constexpr size_t kMaxIdleInputCapacity = 16384;
 constexpr std::chrono::milliseconds kPeerTimeout{1500};
 constexpr unsigned kByteBits = 8;
@@ -146,7 +147,8 @@
   open_ = false;
   error_code ignored;
   socket_.close(ignored);
-  // The handlers may own this link's owner; they are released from the loop, not under their feet.
+  // A handler may hold the last reference to the owner of this link, and `close` may run inside a
+  // handler. So the handlers are destroyed later, from the event loop.
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
     self->on_frame_ = nullptr;
     self->on_close_ = nullptr;
--- a/src/adapters/link/framed_link.h
+++ b/src/adapters/link/framed_link.h
@@ -1,8 +1,8 @@
 /// @file
-/// Frames (protobuf messages behind their length) on TCP connections between own processes.
+/// Length-prefixed protobuf messages (frames) on TCP connections between processes of the fleet.
 ///
-/// gRPC does not fit here: it costs every process threads and memory that a relay has no use for,
-/// and takes deadlines from the system clock.
+/// gRPC is not used here, because it needs threads and memory in every process that a relay cannot
+/// spare, and because it derives deadlines from the system clock.
 #pragma once
 
 #include <chrono>
@@ -20,10 +20,10 @@
 
 namespace workshatch::link {
 
-/// One connection. Lives on the event loop of its socket; not safe for concurrent use.
+/// One connection. Used only on the event loop of its socket; not safe for concurrent use.
 ///
-/// Frames arrive whole and in order, or the link closes. A peer that falls silent is noticed by
-/// TCP within about two seconds.
+/// Frames arrive complete and in order, or the link closes. TCP detects an unresponsive peer within
+/// about two seconds.
 class FramedLink : public std::enable_shared_from_this<FramedLink> {
 public:
   using Socket = boost::asio::ip::tcp::socket;
@@ -32,26 +32,26 @@
 
   explicit FramedLink(Socket socket);
 
-  /// Begins to read. `on_close` runs once, when the other side ends the link or it fails.
+  /// Starts to read. `on_close` runs at most once: when the peer closes the link or the link fails.
   void start(FrameHandler on_frame, CloseHandler on_close);
 
-  /// Queues a frame. @return false when the link is closed or its queue is full; a full queue
-  /// closes it.
+  /// Queues a frame. A full queue (16 MB) closes the link.
+  /// @return false if the link is closed or its queue is full.
   bool send(const v1::Frame& frame);
 
-  /// Ends the link; no handler runs afterwards.
+  /// Closes the link. No handler runs afterwards.
   void close();
 
   bool isOpen() const { return open_; }
 
-  /// Bytes that arrived since the link began; grows also while a large frame is arriving.
+  /// Bytes received since the link was opened, including those of a frame that is still incomplete.
   uint64_t bytesReceived() const { return bytes_received_; }
-  /// Bytes of the frames that were queued since the link began.
+  /// Bytes of the frames queued since the link was opened.
   uint64_t bytesQueued() const { return bytes_queued_; }
 
 private:
   void read();
-  /// @return false when the bytes are no frame.
+  /// Passes the complete frames of the input to the handler. @return false if the input is invalid.
   bool parseFrames();
   void write();
   void fail();
@@ -67,14 +67,15 @@
   CloseHandler on_close_;
 };
 
-/// Accepts links. Lives on one event loop.
+/// Accepts links. Used only on one event loop.
 class LinkListener {
 public:
   using LinkHandler = std::function<void(std::shared_ptr<FramedLink>)>;
 
   explicit LinkListener(boost::asio::io_context& context) : acceptor_(context) {}
 
-  /// @param address "ip:port"
+  /// Starts to accept links.
+  /// @param address local address, "ip:port"
   Result<std::monostate> listen(const std::string& address, LinkHandler on_link);
   void close();
 
@@ -85,15 +86,16 @@
   LinkHandler on_link_;
 };
 
-/// How long a link may take to come up: several round trips between regions. A machine without
-/// power does not answer at all, and a lost opening packet is sent again only after seconds:
-/// another attempt is the quicker way.
+/// Timeout for opening a link: several round trips between regions. A machine without power does
+/// not respond at all, and TCP retransmits a lost SYN only after seconds, so a new attempt is
+/// faster than waiting.
 inline constexpr std::chrono::milliseconds kDialTimeout{150};
 
-/// Opens one link. Lives on one event loop; destroyed, it gives up.
+/// Opens one link at a time. Used only on one event loop. Destruction cancels an attempt in
+/// progress.
 class LinkDialer {
 public:
-  /// `link` is null when nothing answered in time.
+  /// @param link null if the connection failed or timed out
   using DialHandler = std::function<void(std::shared_ptr<FramedLink> link)>;
 
   explicit LinkDialer(boost::asio::io_context& context) : context_(context) {}
@@ -101,6 +103,7 @@
   LinkDialer(const LinkDialer&) = delete;
   LinkDialer& operator=(const LinkDialer&) = delete;
 
+  /// Starts an attempt and cancels the one in progress, whose handler does not run.
   void dial(const std::string& address, std::chrono::milliseconds timeout, DialHandler done);
   void cancel();
 
--- a/src/adapters/link/link_pool.cc
+++ b/src/adapters/link/link_pool.cc
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// A replica that refused a connection may be about to start: after a restart of all, the first
-/// election waits for this.
+/// Delay before the next attempt after a failed one. It is short, since a replica that refuses a
+/// connection may be starting: after a restart of all replicas the first election waits for this
+/// delay.
 constexpr int64_t kRetryMs = 50;
 
 } // namespace
--- a/src/adapters/link/link_pool.h
+++ b/src/adapters/link/link_pool.h
@@ -1,5 +1,5 @@
 /// @file
-/// Outgoing links to many addresses, opened when something is to be sent.
+/// Outgoing links to many addresses, each opened when the first frame is sent to its address.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,19 @@
 
 namespace workshatch::link {
 
-/// Sends frames one way; they may be lost, never reordered within a link. Lives on one event loop.
+/// Sends frames without receiving any. Frames may be lost, but are not reordered within a link.
+/// Used only on one event loop.
 class LinkPool : public ReplicaTransport {
 public:
-  /// @param own_address told to the receivers of replica messages
+  /// @param own_address sender address in the messages between replicas
   LinkPool(boost::asio::io_context& context, const Clock& clock, std::string own_address)
       : context_(context), clock_(clock), own_address_(std::move(own_address)) {}
 
   void send(const std::string& address, v1::RaftMessage message) override;
+  /// Sends a frame, or opens the link and sends the frame afterwards. While the link is opening
+  /// only the newest frame is kept.
   void sendFrame(const std::string& address, const v1::Frame& frame);
+  /// Closes all links and cancels all attempts to open one.
   void close();
 
 private:
@@ -34,7 +38,7 @@
     std::shared_ptr<FramedLink> link;
     bool dialing = false;
     int64_t retry_at_ms = 0;
-    /// The newest frame, sent once the link is up; older ones are lost.
+    /// The newest frame, sent when the link is open. Older ones are dropped.
     v1::Frame pending_frame;
     bool has_pending_frame = false;
   };
--- a/src/adapters/logging/bounded_output.cc
+++ b/src/adapters/logging/bounded_output.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Some 300 lines; a node may use 32 MB.
+/// Size limit of the buffer: about 300 lines. It is small, since a node may use only 32 MB of
+/// memory.
 constexpr size_t kMaxBufferedBytes = size_t{64} * 1024;
 
 } // namespace
@@ -26,7 +27,7 @@
 void BoundedOutput::flush() {
   size_t written = 0;
   while (written < buffer_.size() && isWritable()) {
-    // A pipe that polls writable takes PIPE_BUF bytes without blocking.
+    // A pipe that poll reports as writable accepts PIPE_BUF bytes without blocking.
     const size_t part = std::min<size_t>(buffer_.size() - written, PIPE_BUF);
     const ssize_t count = ::write(descriptor_, buffer_.data() + written, part);
     if (count <= 0) {
--- a/src/adapters/logging/bounded_output.h
+++ b/src/adapters/logging/bounded_output.h
@@ -1,5 +1,5 @@
 /// @file
-/// Lines for a reader that may be slow, or have stopped reading.
+/// Buffered, non-blocking output of log lines to a reader that may be slow or have stopped reading.
 #pragma once
 
 #include <cstddef>
@@ -9,24 +9,25 @@
 
 namespace workshatch::logging {
 
-/// Keeps lines until the reader takes them. Never waits for the reader: a thread that did would
-/// stand still, and a planned stop with it. What does not fit is dropped and counted. Not safe for
-/// concurrent use.
+/// Buffers lines until the reader accepts them. It never blocks: a thread that waited for the
+/// reader would hang, and a planned stop of the process with it. Lines that do not fit into the
+/// buffer are dropped and counted. Not safe for concurrent use.
 class BoundedOutput {
 public:
-  /// @param descriptor where the lines go; not owned.
+  /// @param descriptor file descriptor to write to; not owned
   explicit BoundedOutput(int descriptor) : descriptor_(descriptor) {}
 
-  /// @return whether another line is kept; if not, it counts as dropped.
+  /// Called before each line. @return whether the buffer has room for it; if not, the line is
+  /// counted as dropped and must not be added.
   bool tryReserveLine();
-  /// Keeps a line, which ends with a line feed.
+  /// Appends a line to the buffer. The line must end with a line feed.
   void add(std::string_view line) { buffer_ += line; }
-  /// Writes as much as the reader takes now.
+  /// Writes as much as is possible without blocking.
   void flush();
 
   bool empty() const { return buffer_.empty(); }
   uint64_t droppedLines() const { return dropped_; }
-  /// @return lines dropped since the last call that returned some.
+  /// @return the number of lines dropped since the last call that returned a number above zero.
   uint64_t takeUnreportedDrops();
 
 private:
--- a/src/adapters/logging/json_log.cc
+++ b/src/adapters/logging/json_log.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// How long the end of a process waits for the reader of its last lines.
+/// How long an exiting process waits until its last lines are written.
 constexpr std::chrono::milliseconds kFinishLimit{500};
 constexpr std::chrono::milliseconds kFinishPoll{5};
 
@@ -27,7 +27,8 @@
   BoundedOutput output{STDERR_FILENO};
 };
 
-/// The process has one standard error, so one log. Never destroyed: threads may log until the end.
+/// The log of the process, which has one standard error. It is never destroyed, since threads may
+/// log until the process exits.
 Log& sharedLog() {
   static Log* const log = new Log;
   return *log;
@@ -74,7 +75,7 @@
   line["severity"] = nameOf(severity);
   line["process"] = log.process;
   line["event"] = event;
-  // Before the lock, which all workers share.
+  // Serialized before taking the lock, which all workers share.
   std::string text = textOf(line);
   const std::lock_guard lock(log.mutex);
   if (log.output.tryReserveLine()) {
--- a/src/adapters/logging/line_log.cc
+++ b/src/adapters/logging/line_log.cc
@@ -12,14 +12,14 @@
 namespace {
 
 struct Log {
-  /// Guards the rest: several event loops of one process may write.
+  /// Guards the other members, since several event loops of one process may log.
   std::mutex mutex;
   std::string process;
   std::string role;
   logging::BoundedOutput output{STDOUT_FILENO};
 };
 
-/// The process has one standard output, so one log.
+/// The log of the process, which has one standard output.
 Log& sharedLog() {
   static Log log;
   return log;
--- a/src/adapters/logging/line_log.h
+++ b/src/adapters/logging/line_log.h
@@ -1,8 +1,8 @@
 /// @file
-/// JSON log lines on standard output, from a process with one event loop.
+/// Logging of JSON objects, one per line, to standard output, for processes with an event loop.
 ///
-/// The writer never blocks: lines wait in a bounded buffer and are written while the reader takes
-/// them; what does not fit is dropped and counted.
+/// Logging never blocks. Lines stay in a bounded buffer until `flush` writes them. Lines that do
+/// not fit are dropped and counted. Safe for concurrent use.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,17 @@
 
 namespace workshatch::line_log {
 
-/// Sets the members that every line has. Called once, before the first line.
+/// Sets the members that are the same in every line. Called once, before the first line.
 void initialize(std::string process, std::string role);
 
-/// Queues one line with time, process, role, `event` and the members of `fields`.
+/// Buffers one line with time, process, role, `event` and the members of `fields`.
 void write(std::string_view event, const nlohmann::json& fields);
 
-/// Writes as much as the reader takes now. The event loop calls it often.
+/// Writes as many lines as is possible without blocking. The event loop calls it every few
+/// milliseconds.
 void flush();
 
-/// Lines dropped because the reader did not keep up.
+/// @return the number of lines dropped since the start because the buffer was full.
 uint64_t droppedLines();
 
 } // namespace workshatch::line_log
--- a/src/adapters/logging/log_flusher.h
+++ b/src/adapters/logging/log_flusher.h
@@ -1,5 +1,5 @@
 /// @file
-/// Writes buffered log lines out every few milliseconds.
+/// Periodic flush of the log lines buffered by line_log.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,8 @@
 
 namespace workshatch {
 
-/// Lives on its event loop; ends with it or when destroyed.
+/// Flushes the log every 50 ms on its event loop, from `start` until it is destroyed or the loop
+/// ends.
 class LogFlusher {
 public:
   explicit LogFlusher(boost::asio::io_context& context) : timer_(context) {}
--- a/src/adapters/logging/log_report.cc
+++ b/src/adapters/logging/log_report.cc
@@ -27,11 +27,11 @@
   return text;
 }
 
-/// Members of a line that tells a whole list.
+/// Names of the members of an event that contains a complete list.
 struct ListEventFormat {
   const char* event;
   const char* items;
-  /// Member of an item.
+  /// Member of an item that identifies it.
   const char* name;
 };
 
--- a/src/adapters/logging/log_report.h
+++ b/src/adapters/logging/log_report.h
@@ -1,5 +1,6 @@
 /// @file
-/// Reads the JSON log lines of many processes: one request's way, and sums by outcome.
+/// Evaluates the JSON log lines of several processes: the lines about one request, counts by
+/// outcome, and the evacuations and quarantines that each process logged last.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,8 @@
 
 namespace workshatch::logging {
 
-/// One line of a log. Whatever stands before the JSON object, such as a collector's prefix, is left
-/// out.
+/// One line of a log. Text before the JSON object, such as the prefix of a log collector, is
+/// ignored.
 struct LogLine {
   uint64_t time_ms = 0;
   std::string process;
@@ -20,45 +21,45 @@
   nlohmann::json fields;
 };
 
-/// Appends the lines of `input` that hold a JSON object with an event; others are left out.
+/// Appends the lines of `input` that contain a JSON object with an event. Other lines are skipped.
 void readLogLines(std::istream& input, std::vector<LogLine>& lines);
 
-/// @param request id of one try, or the identity that all tries of a request share
-/// @return the lines about it, oldest first, each as text.
+/// @param request id of one attempt, or the identity that all attempts of a request share
+/// @return the lines about it, formatted as text, oldest first.
 std::vector<std::string> traceRequest(const std::vector<LogLine>& lines,
                                       const std::string& request);
 
-/// How often something happened, and the first request that it happened to.
+/// Number of lines with the same event, outcome and error, and the request of the first one.
 struct OutcomeCount {
   std::string event;
-  /// Outcome or reason.
+  /// Member "outcome" of the line, or "reason" if there is none.
   std::string outcome;
   std::string error;
   uint64_t count = 0;
   std::string first_request;
 };
 
-/// @return counts by event, outcome and error of the lines about requests, most frequent first.
+/// @return the number of lines about requests by event, outcome and error, highest first.
 std::vector<OutcomeCount> countOutcomes(const std::vector<LogLine>& lines);
 
-/// What the operators' or the leader's orders keep from running, as a process held it when its log
-/// ended: evacuated zones, or requests in quarantine.
+/// The evacuated zones, or the quarantined requests, that a process logged last. Evacuations are
+/// ordered by operators, quarantines by the leader.
 struct RestrictionReport {
   std::string process;
   uint64_t version = 0;
   struct Item {
     /// Name of a zone, or identity of a request.
     std::string name;
-    /// Wall time of the order, milliseconds since the epoch.
+    /// Time of the order, in milliseconds since the Unix epoch.
     uint64_t since_ms = 0;
   };
   std::vector<Item> items;
 };
 
-/// @return the newest evacuations of each process that logged any, by its name.
+/// @return the latest evacuations of each process that logged any, sorted by process name.
 std::vector<RestrictionReport> latestEvacuations(const std::vector<LogLine>& lines);
 
-/// @return the newest quarantine of each process that logged any, by its name.
+/// @return the latest quarantine of each process that logged any, sorted by process name.
 std::vector<RestrictionReport> latestQuarantine(const std::vector<LogLine>& lines);
 
 } // namespace workshatch::logging
--- a/src/adapters/metrics/router_stats.h
+++ b/src/adapters/metrics/router_stats.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counters of the router role; each is declared once, in the list below.
+/// Metrics of the router role. Each counter is declared once, in the list below.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 
 namespace workshatch::metrics {
 
-/// Name, unit or kind, and what it is for.
+/// Name and HELP text of each counter.
 // NOLINTNEXTLINE(cppcoreguidelines-macro-usage): one list for declaration and exposition.
 #define WORKSHATCH_ROUTER_COUNTERS(COUNTER)                                                        \
   COUNTER(requests_total, "requests of callers")                                                   \
@@ -33,15 +33,15 @@
   COUNTER(limited_total, "requests refused by a tenant's limit")                                   \
   COUNTER(platform_failures_total, "reads of the platform's list that failed")
 
-/// Upper bounds of the buckets, microseconds.
+/// Upper bounds of the histogram buckets, in microseconds.
 constexpr std::array<uint64_t, 12> kLatencyBounds = {
     100, 250, 500, 1'000, 2'500, 5'000, 10'000, 25'000, 100'000, 500'000, 1'000'000, 5'000'000};
 
-/// Cumulative counts by upper bound. Safe for concurrent use.
+/// Histogram of latencies. Safe for concurrent use.
 class LatencyHistogram {
 public:
   void record(uint64_t microseconds);
-  /// Text exposition format, in seconds.
+  /// @return the histogram in the Prometheus text format, in seconds.
   std::string expose(const std::string& name, const std::string& help) const;
 
 private:
@@ -49,7 +49,7 @@
   std::atomic<uint64_t> sum_{0};
 };
 
-/// Safe for concurrent use.
+/// All metrics of the router role. Safe for concurrent use.
 struct RouterStats {
 // NOLINTNEXTLINE(cppcoreguidelines-macro-usage)
 #define WORKSHATCH_DECLARE(name, help) std::atomic<uint64_t> name{0};
@@ -57,11 +57,11 @@
 #undef WORKSHATCH_DECLARE
   LatencyHistogram decision_latency;
 
-  /// All counters in the text exposition format.
+  /// @return the counters and the histogram in the Prometheus text format.
   std::string expose() const;
 };
 
-/// One line pair of a gauge in the text exposition format.
+/// @return a gauge in the Prometheus text format.
 std::string exposeGauge(const std::string& name, const std::string& help, uint64_t value);
 
 } // namespace workshatch::metrics
--- a/src/adapters/metrics/text_format.h
+++ b/src/adapters/metrics/text_format.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counters, gauges and histograms in the Prometheus text format.
+/// Output of counters, gauges and histograms in the Prometheus text format.
 #pragma once
 
 #include <array>
@@ -10,27 +10,29 @@
 
 namespace workshatch::metrics {
 
-/// Values by that of one label.
+/// Values of a metric by the value of its label.
 using LabelledCounts = std::map<std::string, uint64_t>;
 
-/// Content type of the format.
+/// Content type of the Prometheus text format.
 inline constexpr const char* kContentType = "text/plain; version=0.0.4";
 
-/// Appends what comes before the values of a metric. @return the metric's full name.
+/// Appends the HELP and TYPE lines of a metric.
+/// @return the full name of the metric, with the prefix of the program.
 std::string appendMetricHeader(std::string& out, const std::string& name, const std::string& help,
                                const std::string& type);
 
-/// Appends one metric; `name` is without the program's prefix.
+/// Appends a metric. `name` is without the prefix of the program.
 void exposeCounter(std::string& out, const std::string& name, const std::string& help,
                    uint64_t value);
 void exposeGauge(std::string& out, const std::string& name, const std::string& help, int64_t value);
-/// Appends one metric with a value for each value of `label`.
+/// Appends a metric with one value for each value of `label`.
 void exposeCounters(std::string& out, const std::string& name, const std::string& help,
                     const std::string& label, const LabelledCounts& values);
 void exposeGauges(std::string& out, const std::string& name, const std::string& help,
                   const std::string& label, const LabelledCounts& values);
 
-/// Durations by powers of two of a millisecond. Not safe for concurrent use.
+/// Histogram of durations in milliseconds, with powers of two as bucket bounds. Not safe for
+/// concurrent use.
 class DurationHistogram {
 public:
   void add(int64_t milliseconds);
--- a/src/adapters/program.h
+++ b/src/adapters/program.h
@@ -1,33 +1,35 @@
 /// @file
-/// What all programs share: `--help`, `--version`, flags, exit codes.
+/// Command line flags, exit codes and stop signals, shared by all programs.
 #pragma once
 
 #include <string>
 
 namespace workshatch {
 
+/// Exit codes of all programs.
 enum ExitCode {
   kExitOk = 0,
-  /// Something failed that a new try may pass.
+  /// Failure that a retry may overcome.
   kExitFailure = 1,
   /// Bad flags, settings or declarations.
   kExitUsage = 2,
-  /// Another change came first, or a request id was used twice.
+  /// A concurrent change was committed first, or a request id was used twice.
   kExitConflict = 3,
-  /// The change is committed but not in force everywhere yet.
+  /// The change is committed, but not active on all processes yet.
   kExitPending = 4,
-  /// No control leader could be reached.
+  /// No control leader was reachable.
   kExitUnavailable = 5,
 };
 
-/// Parses the flags and handles `--help` and `--version`; both end the process with 0.
-/// @param usage text shown by `--help` before the flags of `main_file`.
+/// Parses the flags. `--help` and `--version` print their output and exit with code 0.
+/// @param usage text that `--help` prints before the flags
+/// @param main_file name of the source file whose flags `--help` lists
 void parseProgramFlags(int* argc, char*** argv, const std::string& usage,
                        const std::string& main_file);
 
-/// Blocks SIGTERM and SIGINT in this thread and those it starts.
+/// Blocks SIGTERM and SIGINT in this thread and in threads that it starts later. Ignores SIGPIPE.
 void blockStopSignals();
-/// Waits for SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT, which must be blocked.
 void awaitStopSignal();
 
 } // namespace workshatch
--- a/src/adapters/rpc/calls_in_flight.cc
+++ b/src/adapters/rpc/calls_in_flight.cc
@@ -5,7 +5,7 @@
 namespace workshatch::rpc {
 
 bool CallsInFlight::begin(const std::shared_ptr<CallInFlight>& call) {
-  // Destroyed after the lock is released.
+  // Declared before the lock, so that the calls are destroyed after it is released.
   Calls finished_calls;
   const std::lock_guard lock(mutex_);
   finished_calls.swap(finished_);
@@ -21,7 +21,8 @@
   const auto found = calls_.find(&call);
   finished_.push_back(std::move(found->second));
   calls_.erase(found);
-  // Under the lock: once it is released, `shutdown` may return and this object be gone.
+  // Notifies while holding the lock. After its release `shutdown` may return, and this object may
+  // be destroyed.
   all_finished_.notify_all();
 }
 
@@ -34,7 +35,7 @@
       pending.push_back(call);
     }
   }
-  // Without the lock, which the callbacks take.
+  // Cancels without holding the lock, because callbacks take it.
   for (const std::shared_ptr<CallInFlight>& call : pending) {
     call->context.TryCancel();
   }
--- a/src/adapters/rpc/calls_in_flight.h
+++ b/src/adapters/rpc/calls_in_flight.h
@@ -1,5 +1,5 @@
 /// @file
-/// Calls of a gRPC client that are under way, and their end.
+/// Tracks the asynchronous gRPC calls in progress of a client, so that it can be destroyed safely.
 #pragma once
 
 #include <condition_variable>
@@ -12,7 +12,7 @@
 
 namespace workshatch::rpc {
 
-/// What a call uses until its callback has run.
+/// State of a call, which must exist until its callback has run.
 struct CallInFlight {
   CallInFlight() = default;
   virtual ~CallInFlight() = default;
@@ -22,14 +22,17 @@
   grpc::ClientContext context;
 };
 
+/// State of a unary call.
 template <typename Request, typename Reply> struct UnaryCall : CallInFlight {
   Request request;
   Reply reply;
 };
 
-/// Keeps the calls of one client. After `shutdown`, no callback runs any more, so that what
-/// callbacks use may be destroyed; and no call is destroyed by a thread of gRPC's, on which the end
-/// of a channel's last call aborts the process (gRPC 1.51). Safe for concurrent use.
+/// Owns the calls in progress of one client. Safe for concurrent use.
+///
+/// Guarantees: After `shutdown` no callback runs, so objects used by callbacks may be destroyed. No
+/// call is destroyed on a gRPC thread, since gRPC 1.51 aborts the process if the last call of a
+/// channel is destroyed there.
 class CallsInFlight {
 public:
   CallsInFlight() = default;
@@ -37,15 +40,15 @@
   CallsInFlight(const CallsInFlight&) = delete;
   CallsInFlight& operator=(const CallsInFlight&) = delete;
 
-  /// @return whether the call may be made; not after `shutdown`. Its callback then calls
-  /// `markFinished`.
+  /// Registers a call before it is started. Its callback must call `markFinished`.
+  /// @return false after `shutdown`; the call must not be started then.
   bool begin(const std::shared_ptr<CallInFlight>& call);
 
-  /// The last thing that a callback does. The callback does not own the call.
+  /// Called by the callback of a call as its last action. The callback must not own the call.
   void markFinished(const CallInFlight& call);
 
-  /// Cancels the calls under way and waits until the callback of each has run, which takes no
-  /// answer of the other side. Not called from a callback.
+  /// Cancels all calls and waits until their callbacks have run. This does not depend on a response
+  /// of the server. Must not be called from a callback.
   void shutdown();
 
 private:
@@ -53,10 +56,10 @@
 
   std::mutex mutex_;
   std::condition_variable all_finished_;
-  // All below is guarded by mutex_.
+  // The members below are guarded by mutex_.
   bool shut_down_ = false;
   std::map<const CallInFlight*, std::shared_ptr<CallInFlight>> calls_;
-  /// Calls that are over; destroyed by the thread that begins the next one, or ends.
+  /// Finished calls, destroyed by the next `begin` or `shutdown`.
   Calls finished_;
 };
 
--- a/src/adapters/rpc/channels.cc
+++ b/src/adapters/rpc/channels.cc
@@ -13,7 +13,7 @@
 constexpr const char* kKeyHeader = "authorization";
 constexpr int kInitialReconnectMs = 100;
 constexpr int kMaxReconnectMs = 500;
-/// A snapshot of the replicated state is one message.
+/// The limit is this high since a snapshot of the replicated state is sent as one message.
 constexpr int kMaxMessageBytes = 256 * 1024 * 1024;
 
 } // namespace
--- a/src/adapters/rpc/channels.h
+++ b/src/adapters/rpc/channels.h
@@ -1,5 +1,5 @@
 /// @file
-/// gRPC channels with the options that the system uses, and the keys that calls carry.
+/// Creation of gRPC channels, and authentication of calls by a shared key in their metadata.
 #pragma once
 
 #include <memory>
@@ -11,16 +11,18 @@
 
 namespace workshatch::rpc {
 
-/// A channel that tries again soon after a failure.
+/// @return a channel without TLS, with a reconnect backoff of at most 0.5 s and messages of up to
+/// 256 MB.
 std::shared_ptr<grpc::Channel> makeChannel(const std::string& address);
 
-/// Puts a deadline and a key into a call.
+/// Sets the deadline and the key of a call.
 void setKeyAndDeadline(grpc::ClientContext& context, const std::string& key, int64_t timeout_ms);
 
-/// @return whether the call carries `key`; the comparison takes the same time for any key.
+/// @return whether the call carries `key`. The comparison takes constant time, so that its duration
+/// does not reveal the key.
 bool hasKey(const grpc::ServerContextBase& context, const std::string& key);
 
-/// Names a caller for the log, without its key.
+/// @return the address of the caller, for the log.
 std::string peerOf(const grpc::CallbackServerContext& context);
 
 } // namespace workshatch::rpc
--- a/src/adapters/rpc/control_client.cc
+++ b/src/adapters/rpc/control_client.cc
@@ -16,13 +16,15 @@
 
 namespace {
 
-/// A try that is not answered by then goes to the next replica.
+/// Timeout of one attempt, after which the next replica is tried.
 constexpr int64_t kAttemptTimeoutMs = 700;
 constexpr std::chrono::milliseconds kRetryDelay{50};
 
-/// Awaits one asynchronous call of gRPC on the caller's executor. Temporaries are named before each
-/// co_await, here and elsewhere: GCC 12 may destroy unnamed ones twice (GCC bug 99576).
-/// @param start outlives the call.
+/// Starts an asynchronous gRPC call and resumes on the executor of the caller when it is finished.
+///
+/// Here and elsewhere temporaries in a co_await expression are stored in named variables first,
+/// since GCC 12 may destroy unnamed ones twice (GCC bug 99576).
+/// @param start starts the call; must outlive it
 template <typename Call> asio::awaitable<grpc::Status> awaitCall(const Call& start) {
   const auto executor = co_await asio::this_coro::executor;
   const auto initiate = [executor, &start](auto handler) {
@@ -71,14 +73,14 @@
 }
 
 template <typename Request, typename Reply, typename Method>
-asio::awaitable<Result<Reply>> ControlClient::once(Request request, int64_t timeout_ms,
-                                                   Method method) {
+asio::awaitable<Result<Reply>> ControlClient::callOnce(Request request, int64_t timeout_ms,
+                                                       Method method) {
   auto call = std::make_shared<UnaryCall<Request, Reply>>();
   call->request = std::move(request);
   setKeyAndDeadline(call->context, key_, timeout_ms);
   const Target chosen = target();
   if (!calls_.begin(call)) {
-    co_return Error{"this process ends"};
+    co_return Error{"the client is shutting down"};
   }
   const auto start = [this, &call = *call, chosen, method](auto done) {
     (chosen.stub->async()->*method)(&call.context, &call.request, &call.reply,
@@ -94,7 +96,7 @@
   }
   if (call->reply.not_leader()) {
     selectNextReplica(chosen.index, call->reply.leader_address());
-    co_return Error{"control replica " + addresses_[chosen.index] + " does not lead"};
+    co_return Error{"control replica " + addresses_[chosen.index] + " is not the leader"};
   }
   Result<Reply> result(std::move(call->reply));
   co_return result;
@@ -107,7 +109,7 @@
   asio::steady_timer retry_timer(co_await asio::this_coro::executor);
   while (true) {
     const int64_t remaining_ms = std::max<int64_t>(deadline - nowMs(), 1);
-    Result<v1::LedgerReply> result = co_await once<Request, v1::LedgerReply>(
+    Result<v1::LedgerReply> result = co_await callOnce<Request, v1::LedgerReply>(
         request, std::min(remaining_ms, kAttemptTimeoutMs), method);
     if (!isError(result) || nowMs() >= deadline) {
       co_return result;
@@ -119,7 +121,7 @@
 
 namespace {
 
-/// The asynchronous method of the stub with the given request and reply.
+/// Pointer to the asynchronous stub method for the given request and reply.
 template <typename Request, typename Reply>
 using AsyncMethod = void (v1::Control::Stub::async::*)(grpc::ClientContext*, const Request*, Reply*,
                                                        std::function<void(grpc::Status)>);
@@ -130,7 +132,7 @@
                                                              int64_t timeout_ms) {
   const AsyncMethod<v1::RenewRequest, v1::RenewReply> method = &v1::Control::Stub::async::Renew;
   auto result =
-      co_await once<v1::RenewRequest, v1::RenewReply>(std::move(request), timeout_ms, method);
+      co_await callOnce<v1::RenewRequest, v1::RenewReply>(std::move(request), timeout_ms, method);
   co_return result;
 }
 
@@ -138,7 +140,7 @@
                                                                int64_t timeout_ms) {
   const AsyncMethod<v1::DepartRequest, v1::DepartReply> method = &v1::Control::Stub::async::Depart;
   auto result =
-      co_await once<v1::DepartRequest, v1::DepartReply>(std::move(request), timeout_ms, method);
+      co_await callOnce<v1::DepartRequest, v1::DepartReply>(std::move(request), timeout_ms, method);
   co_return result;
 }
 
--- a/src/adapters/rpc/operator_client.cc
+++ b/src/adapters/rpc/operator_client.cc
@@ -13,7 +13,8 @@
 
 using Clock = std::chrono::steady_clock;
 constexpr std::chrono::milliseconds kRetryDelay{100};
-/// One try; above the time that an apply waits to be in force everywhere.
+/// Timeout of one attempt. It is longer than the time for which `Apply` waits until the
+/// configuration is active on all routers.
 constexpr int64_t kAttemptTimeoutMs = 8000;
 
 } // namespace
--- a/src/adapters/rpc/operator_client.h
+++ b/src/adapters/rpc/operator_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Operator calls: finds the control leader and tries again while there is none.
+/// Blocking client for operator calls. It finds the control leader and retries while there is none.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,10 @@
 
 namespace workshatch::rpc {
 
+/// Calls return an error if no leader replies within the timeout, or if the token is refused.
 class OperatorClient {
 public:
+  /// @param timeout_ms limit on the duration of a call, including its retries
   OperatorClient(std::vector<std::string> addresses, std::string token, int64_t timeout_ms);
 
   Result<v1::ApplyReply> apply(const v1::ApplyRequest& request);
--- a/src/adapters/rpc/replica_transport.cc
+++ b/src/adapters/rpc/replica_transport.cc
@@ -10,7 +10,8 @@
 
 constexpr int64_t kDeliverTimeoutMs = 1000;
 constexpr int64_t kHelloTimeoutMs = 1000;
-/// Calls to one replica that may be unanswered; a frozen replica must not pile up memory.
+/// Limit on the calls in progress to one replica, so that calls to an unresponsive replica do not
+/// accumulate in memory.
 constexpr int kMaxOutstandingCalls = 64;
 
 } // namespace
--- a/src/adapters/rpc/replica_transport.h
+++ b/src/adapters/rpc/replica_transport.h
@@ -1,5 +1,5 @@
 /// @file
-/// Messages between control replicas over gRPC.
+/// Transport for messages between control replicas over gRPC.
 #pragma once
 
 #include <atomic>
@@ -16,8 +16,8 @@
 
 namespace workshatch::rpc {
 
-/// Safe for concurrent use. Messages to a replica that does not answer are dropped: Raft sends
-/// again what matters. No callback runs after `shutdown`, nor after the transport is destroyed.
+/// Safe for concurrent use. Messages to a replica that does not respond are dropped; Raft repeats
+/// those that are needed. No callback runs after `end` or after the transport is destroyed.
 class GrpcReplicaTransport : public ReplicaTransport {
 public:
   GrpcReplicaTransport(std::string own_address, std::string key,
@@ -25,11 +25,12 @@
 
   void send(const std::string& address, v1::RaftMessage message) override;
 
-  /// Asks the replica at `address` who it is; `done` runs on a thread of gRPC's, on success only.
+  /// Exchanges identities with the replica at `address`.
+  /// @param done receives the reply on a gRPC thread; not called if the call fails
   void sendHello(const std::string& address, uint64_t own_id,
                  std::function<void(const v1::HelloReply&)> done);
 
-  /// Cancels all calls and makes no more.
+  /// Cancels all calls, waits for their callbacks and prevents further calls.
   void end() { calls_.shutdown(); }
 
 private:
@@ -38,7 +39,7 @@
     std::atomic<int> outstanding{0};
   };
 
-  /// Lives as long as the transport.
+  /// @return the peer at `address`, created if necessary; valid as long as the transport.
   Peer& peer(const std::string& address);
 
   const std::string own_address_;
@@ -47,7 +48,7 @@
   std::mutex mutex_;
   /// Guarded by mutex_.
   std::map<std::string, std::unique_ptr<Peer>> peers_;
-  /// Ends first: callbacks use the peers.
+  /// Declared last and thus destroyed first, since callbacks use the peers.
   CallsInFlight calls_;
 };
 
--- a/src/adapters/settings/json_validation.cc
+++ b/src/adapters/settings/json_validation.cc
@@ -25,7 +25,8 @@
   return root.at(json::json_pointer(target));
 }
 
-/// The schema of the member at `path`, as far as the schema describes it.
+/// @return the schema of the member at `path`, or of its innermost ancestor that the schema
+/// describes.
 const json& schemaAt(const json& root, const std::vector<std::string>& path) {
   const json* schema = &root;
   for (const std::string& token : path) {
@@ -64,7 +65,7 @@
   }
 }
 
-/// Tokens of valijson's context: "<root>", "[name]", "[0]".
+/// @return the path tokens in a valijson context, whose parts are "<root>", "[name]" or "[0]".
 std::vector<std::string> tokensOf(const std::vector<std::string>& context) {
   std::vector<std::string> tokens;
   for (const std::string& part : context) {
@@ -83,7 +84,8 @@
   return pointer.to_string();
 }
 
-/// Name quoted at the end of valijson's message about an unknown member.
+/// @return the member name in the last pair of quotes of a valijson message about an unknown or
+/// missing member.
 std::string quotedMemberName(const std::string& description) {
   const size_t last = description.rfind('\'');
   const size_t first = last == std::string::npos || last == 0 ? std::string::npos
@@ -96,27 +98,28 @@
   constexpr std::string_view kUnknown = "Object contains a property that could not be validated";
   constexpr std::string_view kMissing = "Missing required property";
   std::vector<std::string> tokens = tokensOf(error.context);
-  ValidationError fault{.source = source, .pointer = "", .message = error.description};
+  ValidationError result{.source = source, .pointer = "", .message = error.description};
   if (error.description.starts_with(kUnknown)) {
     tokens.push_back(quotedMemberName(error.description));
-    fault.message = "unknown member";
+    result.message = "unknown member";
   } else if (error.description.starts_with(kMissing)) {
     tokens.push_back(quotedMemberName(error.description));
-    fault.message = "missing";
+    result.message = "missing";
   }
   const json& schema = schemaAt(root, tokens);
-  if (schema.contains("description") && fault.message != "unknown member") {
-    fault.message += "; expected " + schema.at("description").get<std::string>();
+  if (schema.contains("description") && result.message != "unknown member") {
+    result.message += "; expected " + schema.at("description").get<std::string>();
     if (schema.contains("minimum") && schema.contains("maximum")) {
-      fault.message +=
+      result.message +=
           " (" + schema.at("minimum").dump() + " to " + schema.at("maximum").dump() + ")";
     }
   }
-  fault.pointer = pointerOf(tokens);
-  return fault;
+  result.pointer = pointerOf(tokens);
+  return result;
 }
 
-/// Errors that only repeat that a member below is at fault.
+/// @return whether a valijson error only states that a nested member is invalid. The nested member
+/// has an error of its own.
 bool isEnclosingError(const std::string& description) {
   return description.starts_with("Failed to validate against schema associated with") ||
          description.starts_with("Failed to validate item #");
@@ -124,8 +127,8 @@
 
 } // namespace
 
-std::string describe(const ValidationError& fault) {
-  return fault.source + "#" + fault.pointer + ": " + fault.message;
+std::string describe(const ValidationError& error) {
+  return error.source + "#" + error.pointer + ": " + error.message;
 }
 
 JsonOrErrors readJson(const std::string& path) {
--- a/src/adapters/settings/json_validation.h
+++ b/src/adapters/settings/json_validation.h
@@ -1,5 +1,6 @@
 /// @file
-/// JSON documents checked against a schema, with every fault named by JSON pointer.
+/// Validation of JSON documents against a schema. All errors are reported, each with a JSON
+/// pointer.
 #pragma once
 
 #include <string>
@@ -10,25 +11,29 @@
 
 namespace workshatch::settings {
 
+/// One error in a document.
 struct ValidationError {
-  /// The file, or the name of another source.
+  /// Path of the file, or a name for another source.
   std::string source;
-  /// JSON pointer of the member at fault; empty: the whole document.
+  /// JSON pointer to the invalid member; empty for the whole document.
   std::string pointer;
-  /// What was found wrong and what is expected there.
+  /// What is wrong and what is expected.
   std::string message;
 };
 
-/// One line for people: "source#pointer: message".
-std::string describe(const ValidationError& fault);
+/// @return the error as one line of text: "source#pointer: message".
+std::string describe(const ValidationError& error);
 
 using ValidationErrors = std::vector<ValidationError>;
 using JsonOrErrors = std::variant<nlohmann::json, ValidationErrors>;
 
-/// Reads and parses a file.
+/// Reads and parses a JSON file.
 JsonOrErrors readJson(const std::string& path);
 
-/// Checks `document` against a schema and fills in the schema's defaults.
+/// Validates `document` against a schema and inserts the defaults of the schema for missing
+/// members.
+/// @param schema text of a JSON schema
+/// @param source used in the errors
 JsonOrErrors validateJson(nlohmann::json document, const char* schema, const std::string& source);
 
 } // namespace workshatch::settings
--- a/src/adapters/settings/relay_settings.cc
+++ b/src/adapters/settings/relay_settings.cc
@@ -22,7 +22,7 @@
 constexpr double kMaxPort = 65'535;
 constexpr double kMillisecondsPerSecond = 1000;
 
-/// Takes fields out of a JSON object and collects what is wrong with them.
+/// Reads fields of a JSON object and collects errors.
 class FieldReader {
 public:
   FieldReader(const json& object, std::string path, SettingsErrors& errors)
@@ -88,7 +88,7 @@
     }
   }
 
-  /// An object whose members are texts.
+  /// Reads an object whose members are strings.
   void textMap(const char* name, std::map<std::string, std::string>& values) {
     const json* field = find(name, false);
     if (field == nullptr) {
@@ -115,7 +115,7 @@
     return nullptr;
   }
 
-  /// Names each field of the object that is not read later on.
+  /// Adds an error for each field of the object that is not in `known`.
   void rejectUnknownFields(const std::vector<std::string>& known) {
     for (const auto& [name, value] : object_.items()) {
       if (std::find(known.begin(), known.end(), name) == known.end()) {
@@ -181,7 +181,7 @@
     {"repeats", &relay::Policy::repeats},
 };
 
-/// A misspelt mechanism must not count as one that is on.
+/// Rejects unknown names, since a misspelled mechanism would otherwise silently keep its default.
 void readPolicy(FieldReader reader, relay::Policy& policy) {
   std::vector<std::string> known;
   for (const PolicyFlag& entry : kPolicyFlags) {
--- a/src/adapters/settings/relay_settings.h
+++ b/src/adapters/settings/relay_settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// Settings of a relay or a group replica, read from one JSON file.
+/// Settings of a relay or a group replica, read from a JSON file.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace workshatch::settings {
 
-/// Bounds that the fleet keeps; the operators of the platform set them.
+/// Limits that the fleet guarantees, set by the operators of the platform. They are the members of
+/// "bounds" in the settings file, which gives the durations in milliseconds or seconds.
 struct RelayBounds {
   int64_t revoked_key_ms = 5000;
   int64_t leaving_runner_ms = 3000;
@@ -21,22 +22,23 @@
   int64_t repeat_window_ms = 10'000;
   double repeat_slack = 64;
   double load_cap_factor = 2;
-  /// Requests that reach a cold runner in any second, at most: this multiple of what its service
-  /// says that it bears, plus the slack.
+  /// Limit on the requests that reach a cold runner in any second: this multiple of the rate that
+  /// the configuration of its service states as sustainable, plus the slack.
   double cold_factor = 1.5;
   double cold_slack = 5;
-  /// Part of a service's requests that a version may get before it is judged.
+  /// Fraction of the requests of a service that a new version may receive before it is evaluated.
   double trial_share = 0.1;
   uint32_t endpoints_ttl_s = 2;
-  /// The same while some relays are silent.
+  /// Replaces `endpoints_ttl_s` while some relays are unresponsive.
   uint32_t degraded_endpoints_ttl_s = 5;
 };
 
-/// Addresses are "ip:port"; those of calls that the process does not serve are empty.
+/// Addresses have the form "ip:port". The address of an interface that the process does not serve
+/// is empty.
 struct RelaySettings {
   std::string name;
   std::string zone;
-  /// All zones, with their regions. Empty: not told.
+  /// All zones and their regions; empty if not configured.
   relay::ZoneRegions zones;
   std::string ip;
   std::string caller_address;
@@ -44,35 +46,36 @@
   std::string resolve_address;
   std::string operator_address;
   std::string metrics_address;
-  /// First of the ports for frames between own processes, alike on all machines.
+  /// First of the ports for frames between processes of the fleet; the same on all machines.
   uint16_t link_port = 0;
   /// Operator addresses of some group replicas.
   std::vector<std::string> seeds;
   bool first_start = false;
   std::string data_folder;
   std::string runner_list_address;
-  /// Calls to the list that all processes together may make in a second.
+  /// Limit on the calls per second to the runner list by all processes together.
   double runner_list_calls = 10;
-  /// Bandwidth of the machine's link in Mbit/s.
+  /// Network bandwidth of the machine in Mbit/s.
   double link_mbps = 100;
-  /// Losses of replicas that the group bears at once.
+  /// Number of simultaneous replica failures that the group tolerates.
   uint32_t replica_losses = 1;
-  /// Bytes of answers held for callers that read slowly.
+  /// Limit on the buffered response bytes for slowly reading callers, in total.
   size_t read_ahead_bytes = size_t{16} * 1024 * 1024;
   RelayBounds bounds;
   relay::Policy policy;
 
-  /// Addresses for frames of the replicas that `seeds` names.
+  /// @return the addresses for frames of the replicas in `seeds`.
   std::vector<std::string> seedLinkAddresses() const;
 };
 
-/// What is wrong with a settings file: one line a field.
+/// Errors in a settings file, each one line that begins with the name of the field.
 using SettingsErrors = std::vector<std::string>;
 
-/// Reads and checks a settings file; names all faults at once. Unknown fields are ignored.
+/// Reads and validates a settings file and returns all its errors. Unknown fields are ignored,
+/// except in "policy".
 std::variant<RelaySettings, SettingsErrors> loadRelaySettings(const std::string& path);
 
-/// As `loadRelaySettings`, from text.
+/// Like `loadRelaySettings`, from the text of the file.
 std::variant<RelaySettings, SettingsErrors> parseRelaySettings(const std::string& text);
 
 } // namespace workshatch::settings
--- a/src/adapters/settings/schemas.h
+++ b/src/adapters/settings/schemas.h
@@ -1,5 +1,5 @@
 /// @file
-/// The JSON schemas that check settings and declarations, from schema/.
+/// Texts of the JSON schemas in schema/, embedded at build time.
 #pragma once
 
 namespace workshatch::settings {
--- a/src/adapters/settings/settings_file.h
+++ b/src/adapters/settings/settings_file.h
@@ -1,5 +1,5 @@
 /// @file
-/// Settings of a daemon and declarations of operators, read from JSON files.
+/// Loads the settings of a daemon and the declarations of operators from JSON files.
 #pragma once
 
 #include <string>
@@ -11,14 +11,16 @@
 
 namespace workshatch::settings {
 
-/// Reads and checks a settings file; names all faults at once. A file that other users may read is
-/// at fault, since it holds keys.
+/// Reads and validates a settings file and returns all its errors. A file that other users may read
+/// is rejected, since it contains keys.
 std::variant<v1::Settings, ValidationErrors> loadSettings(const std::string& path);
 
-/// Reads and checks all `*.json` files of a folder and joins them to one configuration.
+/// Reads and validates all `*.json` files of a folder and merges them into one configuration.
 std::variant<v1::Configuration, ValidationErrors> loadDeclarations(const std::string& folder);
 
-/// ValidationErrors that no schema can state: names that are not declared, factors out of order.
+/// Checks what a schema cannot express: names that are declared twice or not at all, and factors
+/// that contradict each other.
+/// @param source used in the errors
 ValidationErrors checkConfiguration(const v1::Configuration& configuration,
                                     const std::string& source);
 
--- a/src/adapters/system_clock.h
+++ b/src/adapters/system_clock.h
@@ -1,5 +1,5 @@
 /// @file
-/// Time of the operating system.
+/// Implementation of the clock port with the clocks of the operating system.
 #pragma once
 
 #include <chrono>
@@ -11,8 +11,8 @@
 
 class SystemClock : public Clock {
 public:
-  /// Counts the time for which the machine is suspended, unlike the steady clock: after a sleep of
-  /// some seconds a lease would look as fresh as before it.
+  /// Uses CLOCK_BOOTTIME, which includes the time while the machine is suspended. With the steady
+  /// clock, which excludes it, a lease would seem valid after a suspension in which it expired.
   int64_t monotonicMs() const override {
     constexpr int64_t kMsPerSecond = 1000;
     constexpr int64_t kNsPerMs = 1'000'000;
--- a/src/adapters/tcp_options.cc
+++ b/src/adapters/tcp_options.cc
@@ -13,7 +13,7 @@
 constexpr int kProbeCount = 2;
 
 void set(int handle, int level, int name, int value) {
-  // An option that the system lacks leaves a slower detection; nothing else depends on it.
+  // Errors are ignored: without an option, failures are detected later, with no other effect.
   ::setsockopt(handle, level, name, &value, sizeof value);
 }
 
--- a/src/adapters/tcp_options.h
+++ b/src/adapters/tcp_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// Options of TCP connections that the library has no types for.
+/// TCP socket options that Boost.Asio does not provide.
 #pragma once
 
 #include <chrono>
@@ -8,8 +8,9 @@
 
 namespace workshatch::tcp_options {
 
-/// Sends small writes at once and fails a connection whose other side has been silent for
-/// `peer_timeout`, although something was sent to it or a keep-alive probe was.
+/// Disables Nagle's algorithm, enables keep-alive probes, and sets the time after which a
+/// connection fails if its peer does not acknowledge sent data or probes.
+/// @param peer_timeout time without an acknowledgement
 void configure(boost::asio::ip::tcp::socket& socket, std::chrono::milliseconds peer_timeout);
 
 } // namespace workshatch::tcp_options
--- a/src/adapters/worker_pool.h
+++ b/src/adapters/worker_pool.h
@@ -1,6 +1,6 @@
 /// @file
-/// Threads that run coroutines. Each worker has an event loop of its own, so that what belongs to
-/// one connection runs on one thread and needs no lock; tables shared by workers have locks.
+/// Pool of threads that run coroutines. Each worker has its own event loop, so the state of a
+/// connection is used by one thread only and needs no lock. Tables shared by workers have locks.
 #pragma once
 
 #include <atomic>
@@ -23,13 +23,15 @@
   size_t size() const { return workers_.size(); }
   boost::asio::io_context& context(size_t index) { return workers_[index]->context; }
 
-  /// The worker for the next connection, in turn. Safe for concurrent use.
+  /// @return the index of the worker for the next connection (round robin). Safe for concurrent
+  /// use.
   size_t next() { return next_.fetch_add(1) % workers_.size(); }
 
   void start();
-  /// Runs the first worker on the calling thread, until `requestStop`; the pool has one worker.
+  /// Runs the first worker on the calling thread until `requestStop`. Only for a pool with one
+  /// worker.
   void runOnCallingThread() { workers_.front()->context.run(); }
-  /// Ends `runOnCallingThread`.
+  /// Makes `runOnCallingThread` return.
   void requestStop() { workers_.front()->context.stop(); }
   /// Stops all workers and waits for their threads.
   void stop();
