--- a/tests/unit/adapters/files_test.cc
+++ b/tests/unit/adapters/files_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Files: the replica's log on a disk, settings and declarations.
+/// Tests of the log store of a replica, the files of settings and declarations, the datagram codec
+/// and the parser of event streams.
 #include <doctest/doctest.h>
 #include <filesystem>
 #include <fstream>
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// A folder that is removed again.
+/// A temporary folder, removed by the destructor.
 class TemporaryFolder {
 public:
   TemporaryFolder() {
@@ -60,8 +61,8 @@
   const auto loaded = settings::loadSettings(path.string());
   std::string all;
   if (const auto* errors = std::get_if<settings::ValidationErrors>(&loaded)) {
-    for (const settings::ValidationError& fault : *errors) {
-      all += fault.pointer + ": " + fault.message + "\n";
+    for (const settings::ValidationError& error : *errors) {
+      all += error.pointer + ": " + error.message + "\n";
     }
   }
   return all;
@@ -69,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("a replica's log comes back after a restart, without its torn tail") {
+TEST_CASE("a restart recovers the log of a replica without its torn tail") {
   const TemporaryFolder folder;
   SeededRandom random(1);
   uint64_t id = 0;
@@ -94,7 +95,7 @@
   CHECK(replica.recovery.log.at(5).command() == "command 5");
 }
 
-TEST_CASE("a damaged record in the middle stops the replica and names file and offset") {
+TEST_CASE("a damaged record in the middle of the log is an error that names file and offset") {
   const TemporaryFolder folder;
   SeededRandom random(1);
   {
@@ -112,7 +113,7 @@
   CHECK(errorOf(loaded).message.find("raft.log at offset") != std::string::npos);
 }
 
-TEST_CASE("a folder serves one process, and a log without its identity none") {
+TEST_CASE("a data folder in use, or one with a log but no identity, is rejected") {
   const TemporaryFolder folder;
   SeededRandom random(1);
   disk::FileLogStore store(folder.path(), random);
@@ -125,7 +126,7 @@
   CHECK(errorOf(third.load()).message.find("no identity") != std::string::npos);
 }
 
-TEST_CASE("all faults of settings are named at once, by pointer, with what was expected") {
+TEST_CASE("all errors in settings are reported, with JSON pointer and expected value") {
   const std::string errors = validationErrorsFor(R"({
     "name": "Entry 1", "zone": "a", "control_key": "0123456789abcdef",
     "control_addresses": ["localhost:1"], "colour": "red",
@@ -139,7 +140,7 @@
   CHECK(errors.find("threads that serve connections (1 to 64)") != std::string::npos);
 }
 
-TEST_CASE("settings that others may read are refused") {
+TEST_CASE("a settings file that other users may read is rejected") {
   const TemporaryFolder folder;
   const std::filesystem::path path = folder / "settings.json";
   writeText(path, "{}");
@@ -150,7 +151,7 @@
         std::string::npos);
 }
 
-TEST_CASE("declarations name unknown services and factors out of order") {
+TEST_CASE("undeclared services and contradicting factors in declarations are errors") {
   const TemporaryFolder folder;
   writeText(folder / "a.json", R"({"services": [{"name": "s", "kind": "plain",
       "cap_factor": 1.2, "aim_factor": 1.3}], "routes": [{"service": "t"}]})");
@@ -161,7 +162,7 @@
   CHECK(errors[1].pointer == "/routes/0/service");
 }
 
-TEST_CASE("a datagram with another key or a changed byte is not opened") {
+TEST_CASE("a datagram with another key, a changed byte or too few bytes is rejected") {
   v1::PeerDatagram datagram;
   datagram.set_sender("entry-1");
   std::string bytes = datagram::encodeDatagram(datagram, "a key of sixteen");
@@ -172,7 +173,7 @@
   CHECK_FALSE(datagram::decodeDatagram("short", "a key of sixteen"));
 }
 
-TEST_CASE("events are found whatever the parts of the stream") {
+TEST_CASE("events are parsed whatever the sizes of the pieces of the stream") {
   const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\ndata: c\n\n: comment\n\n";
   for (size_t part = 1; part < stream.size(); ++part) {
     http::EventStreamParser parser;
--- a/tests/unit/adapters/framed_link_test.cc
+++ b/tests/unit/adapters/framed_link_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Frames between own processes: whole, in order, whatever their size.
+/// Tests of framed links: frames of all sizes arrive complete and in order; close and failed dials
+/// are reported.
 #include <chrono>
 #include <memory>
 
@@ -21,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("Frames of all sizes arrive whole and in order, and the end is noticed") {
+TEST_CASE("Frames of all sizes arrive complete and in order, and the peer's close is reported") {
   boost::asio::io_context context;
   link::LinkListener listener(context);
   std::vector<std::shared_ptr<link::FramedLink>> accepted;
@@ -60,7 +61,7 @@
   CHECK_FALSE(opened->send(frameWith(4, 0)));
 }
 
-TEST_CASE("Dialing where nobody listens ends with no link") {
+TEST_CASE("Dialing an address without a listener returns no link") {
   boost::asio::io_context context;
   link::LinkDialer dialer(context);
   bool ended = false;
--- a/tests/unit/adapters/http_server_test.cc
+++ b/tests/unit/adapters/http_server_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The HTTP server's limits: what callers that send too much, too slowly or nonsense get, and that
-/// others are served meanwhile.
+/// Tests of the HTTP server's limits on requests that are too large, too slow or malformed, of the
+/// phase that the client reports for a failed call, and of error responses.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/connect.hpp>
 #include <boost/asio/detached.hpp>
@@ -32,7 +32,7 @@
 
   const std::string& address() const { return address_; }
 
-  /// Sends bytes as they are and returns the answer's first line.
+  /// Sends raw bytes and returns the status line of the response.
   std::string send(const std::string& bytes) const {
     asio::io_context context;
     asio::ip::tcp::socket socket(context);
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("callers that send too much, too slowly or nonsense get a 4xx, others are served") {
+TEST_CASE("requests that are too large, too slow or malformed get a 4xx while others are served") {
   const SmallServer server;
   CHECK(server.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n") == "HTTP/1.1 200 OK");
   CHECK(server.send("nonsense\r\n\r\n") == "HTTP/1.1 400 Bad Request");
@@ -78,7 +78,7 @@
   CHECK(server.send("GET / HTTP/1.1\r\nX: " + std::string(4000, 'x') + "\r\n\r\n") ==
         "HTTP/1.1 431 Request Header Fields Too Large");
   CHECK(server.send("GET / HTTP/1.1\r\n\r\n") == "HTTP/1.1 400 Bad Request");
-  // A request that never ends: the other caller does not wait for it.
+  // An incomplete request does not delay a request on another connection.
   asio::io_context context;
   asio::ip::tcp::socket slow(context);
   slow.connect(*http::parseEndpoint(server.address()));
@@ -90,7 +90,7 @@
   CHECK(answer.substr(0, answer.find("\r\n")) == "HTTP/1.1 408 Request Timeout");
 }
 
-TEST_CASE("a call that broke off on a kept connection counts as sent, also when no other is had") {
+TEST_CASE("a call that fails on an idle connection counts as sent, also if reconnecting fails") {
   WorkerPool workers(1);
   http::Server* server_address = nullptr;
   int requests = 0;
@@ -100,7 +100,8 @@
       co_await exchange.respond(std::move(response));
       co_return;
     }
-    // Ends like a process that dies while it works: the connection and the address are gone.
+    // Simulates a server process that crashes during the request: the connection is reset and
+    // nothing listens at the address any more.
     server_address->stopAccepting();
     exchange.abort();
   };
@@ -134,7 +135,7 @@
   CHECK(errors[0].phase == http::CallPhase::Sent);
 }
 
-TEST_CASE("a refusal says whether the request ran and when to come back") {
+TEST_CASE("an error response states whether the request was executed and when to retry") {
   const http::Response response =
       http::makeProblem(http::Problem{.status = http::Status::service_unavailable,
                                       .code = "overloaded",
--- a/tests/unit/adapters/json_log_test.cc
+++ b/tests/unit/adapters/json_log_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The log of a process whose reader has stopped reading.
+/// Test that logging does not block when the reader of the log has stopped reading.
 #include <array>
 #include <cerrno>
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A full pipe in the place of standard error; standard error comes back with its end.
+/// Replaces standard error by a full pipe; the destructor restores it.
 class FullPipe {
 public:
   FullPipe() : standard_error_(::dup(STDERR_FILENO)) {
@@ -30,7 +30,7 @@
     ::dup2(ends_[1], STDERR_FILENO);
   }
   ~FullPipe() {
-    // A writer that waits for the reader gets an error, and goes on.
+    // Without a read end, a writer that is blocked on the pipe fails and continues.
     ::close(ends_[0]);
     ::dup2(standard_error_, STDERR_FILENO);
     ::close(standard_error_);
@@ -46,8 +46,8 @@
 
 } // namespace
 
-// A daemon whose log was read by nobody stood still at its next line, and with it its planned stop:
-// the line was written in the caller's way, and a full pipe keeps its writer until somebody reads.
+// Guards against a daemon that hangs when nobody reads its log: a line that the logging thread
+// writes to a full pipe blocks it until somebody reads, and a planned stop hangs with it.
 TEST_CASE("A log line does not wait for the reader of the log") {
   const FullPipe full;
   CHECK(endsInTime(
--- a/tests/unit/adapters/log_report_test.cc
+++ b/tests/unit/adapters/log_report_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Reading logs: a request's way through several processes, and counts by outcome.
+/// Tests of the evaluation of log lines: traces of a request, counts by outcome, evacuations and
+/// quarantine.
 #include <sstream>
 
 #include <doctest/doctest.h>
@@ -26,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("A request's lines come in the order of time, others are left out") {
+TEST_CASE("A trace contains the lines of one request in order of time") {
   const auto lines = sample();
   CHECK(lines.size() == 4);
   const auto texts = logging::traceRequest(lines, "q1");
@@ -45,7 +46,7 @@
   CHECK(counts[1].outcome == "answered");
 }
 
-TEST_CASE("The newest evacuations of each process are told, also when none is left") {
+TEST_CASE("The latest evacuations of each process are reported, also if none is left") {
   std::istringstream input(
       R"({"event":"evacuations_in_force","process":"a","version":7,"zones":[{"zone":"north","since_ms":70}]}
 {"event":"evacuations_in_force","process":"b","version":7,"zones":[{"zone":"north","since_ms":70}]}
@@ -64,7 +65,7 @@
   CHECK(reports[1].items.empty());
 }
 
-TEST_CASE("The newest quarantine of each process, and all tries of one of its requests") {
+TEST_CASE("The latest quarantine is reported, and a trace by identity has all attempts") {
   std::istringstream input(
       R"({"event":"attempt_ended","process":"a","request":"q1","identity":"01-02","time_ms":1}
 {"event":"request_ended","process":"b","request":"q2","identity":"01-02","time_ms":2}
--- a/tests/unit/adapters/relay_settings_test.cc
+++ b/tests/unit/adapters/relay_settings_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Settings of relays and group replicas: what is read, and faults that name their field.
+/// Tests of the settings of relays and group replicas: values, defaults, and errors by field.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("Settings are read, with defaults for what is not told") {
+TEST_CASE("Settings are read, with defaults for missing fields") {
   const auto read = settings::parseRelaySettings(kSettings);
   const auto* settings = std::get_if<settings::RelaySettings>(&read);
   REQUIRE(settings != nullptr);
@@ -42,7 +42,7 @@
   CHECK(settings->policy.place_limits);
 }
 
-TEST_CASE("All faults of a settings file are told at once, by field") {
+TEST_CASE("All errors in a settings file are reported, by field") {
   const auto read = settings::parseRelaySettings(
       R"({"name":"","zone":"z","ip":"x","caller_address":"no","link_port":70000,"seeds":["a"],
           "first_start":1,"runner_list_address":"1.2.3.4:5","bounds":{"repeat_ratio":2},
@@ -51,7 +51,7 @@
   REQUIRE(errors != nullptr);
   const auto named = [&](const std::string& field) {
     return std::any_of(errors->begin(), errors->end(),
-                       [&](const std::string& fault) { return fault.starts_with(field + ":"); });
+                       [&](const std::string& error) { return error.starts_with(field + ":"); });
   };
   for (const char* field : {"name", "caller_address", "link_port", "seeds", "first_start",
                             "bounds.repeat_ratio", "policy.place_limits", "policy.palce_limits"}) {
--- a/tests/unit/adapters/replica_transport_test.cc
+++ b/tests/unit/adapters/replica_transport_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Lifetime of the calls between control replicas.
+/// Tests of the lifetime of calls between control replicas.
 #include <atomic>
 #include <chrono>
 #include <memory>
@@ -19,7 +19,7 @@
 
 constexpr std::chrono::milliseconds kAnswerDelay{200};
 
-/// A replica that answers a hello late.
+/// A replica that replies to Hello after a delay.
 class SlowPeer : public v1::ControlPeer::Service {
 public:
   SlowPeer() {
@@ -48,9 +48,9 @@
 
 } // namespace
 
-// A replica that ends while another one's answer to its hello is under way got that answer after
-// its role was gone: the callback of the call used what had been destroyed.
-TEST_CASE("No answer to a hello comes after the transport has ended") {
+// Guards against a use after free: a replica stopped while its Hello call to another replica was in
+// progress, and the callback of the call used the role after its destruction.
+TEST_CASE("No reply to a Hello is delivered after the transport is destroyed") {
   SlowPeer peer;
   auto transport =
       std::make_unique<rpc::GrpcReplicaTransport>("127.0.0.1:1", "key", AddressOverrides());
@@ -60,7 +60,7 @@
 
   transport.reset();
   const int answers_at_the_end = *answers;
-  // The call keeps its callback until it is over.
+  // The callback holds its copy of the counter until the call is destroyed.
   REQUIRE(waitUntil([&] { return answers.use_count() == 1; }));
   CHECK(*answers == answers_at_the_end);
 }
--- a/tests/unit/adapters/text_format_test.cc
+++ b/tests/unit/adapters/text_format_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Metrics in the text format.
+/// Tests of metrics in the Prometheus text format.
 #include <string>
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 namespace workshatch::test {
 
-TEST_CASE("Counters and gauges name their kind, with and without labels") {
+TEST_CASE("Counters and gauges are exposed with their type, with and without labels") {
   std::string out;
   metrics::exposeCounter(out, "events_total", "events", 7);
   metrics::exposeGauge(out, "age_ms", "age", -1);
@@ -21,7 +21,7 @@
                "workshatch_load{runner=\"a\"} 1\nworkshatch_load{runner=\"b\"} 2\n");
 }
 
-TEST_CASE("A histogram counts durations up to each bound, the longest only in the last") {
+TEST_CASE("Histogram buckets are cumulative, and the longest durations count in +Inf only") {
   metrics::DurationHistogram histogram;
   for (const int64_t milliseconds : {0, 1, 3, 1'000'000}) {
     histogram.add(milliseconds);
