--- a/src/daemon/router/allowed_methods.h
+++ b/src/daemon/router/allowed_methods.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which methods the router's own paths take.
+/// HTTP methods allowed on the paths that the router answers itself.
 #pragma once
 
 #include <string_view>
@@ -8,11 +8,11 @@
 
 namespace workshatch::daemon {
 
-/// @return the value of `Allow` for a path that the router answers itself; empty: any method, or a
-/// path that it does not know.
+/// @return the methods allowed on `path`, as the value of the `Allow` header. Empty if `path` is
+/// not one that the router answers itself; its methods are not restricted here.
 std::string_view allowedMethods(std::string_view path);
 
-/// @return whether `method` is one of `allowed`.
+/// @return whether `method` is in `allowed`, a value returned by allowedMethods().
 bool methodAllowed(std::string_view allowed, http::Verb method);
 
 } // namespace workshatch::daemon
--- a/src/daemon/router/chat_request.cc
+++ b/src/daemon/router/chat_request.cc
@@ -14,7 +14,8 @@
 constexpr uint64_t kCharactersPerToken = 4;
 constexpr uint64_t kDefaultMaxTokens = 64;
 constexpr uint64_t kMaxTokens = 1'000'000;
-/// Messages that name a conversation: the instructions and the first question.
+/// Number of messages from which a session name is derived: the instructions and the first
+/// question.
 constexpr size_t kOpeningMessages = 2;
 constexpr const char* kLastEventIdHeader = "Last-Event-ID";
 
@@ -103,7 +104,8 @@
   for (size_t i = 0; i < std::min(messages.size(), kOpeningMessages); ++i) {
     opening += messages[i].at("content").get_ref<const std::string&>() + "\n";
   }
-  // The caller's text goes into a header of the request to the engine only as a fingerprint.
+  // The name becomes a header of the request to the engine. It must not contain text of the caller,
+  // which could inject headers.
   std::ostringstream name;
   name << "opening-" << std::hex << routing::fingerprintOf(opening);
   return name.str();
--- a/src/daemon/router/chat_request.h
+++ b/src/daemon/router/chat_request.h
@@ -10,17 +10,20 @@
 
 namespace workshatch::daemon {
 
-/// A fault of the caller's, with the member at fault.
+/// Describes why a request is not valid. `detail` names the invalid member or header and is sent to
+/// the caller.
 struct BadRequest {
   std::string detail;
 };
 
+/// Parses the request and checks the members and headers that the router uses.
 std::variant<ChatRequest, BadRequest> parseChatRequest(const http::Request& request);
 
-/// @return whether the request takes up a stream again that broke off: a router ran it before.
+/// @return whether the request resumes a broken stream, which means that a router has run it
+/// before.
 bool resumesStream(const http::Request& request);
 
-/// Load of a request in tokens: the prompt's estimate and the most tokens asked for.
+/// Load of a request in tokens: the estimated length of the prompt plus `max_tokens`.
 uint64_t tokenCost(const nlohmann::json& body);
 
 /// Name of the session: header `X-Session-Id`, else a fingerprint of the conversation's first
--- a/src/daemon/router/chat_run.cc
+++ b/src/daemon/router/chat_run.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// Events held back while an earlier one is missing.
+/// Limit on the events buffered while an event with a lower number is missing.
 constexpr size_t kMaxOutOfOrderEvents = 256;
 constexpr int kMaxAttempts = 6;
-/// A stream that gives nothing for this long is taken up again elsewhere.
+/// A stream that delivers nothing for this long is treated as broken and resumed.
 constexpr std::chrono::milliseconds kStallTimeout{3000};
 constexpr std::chrono::milliseconds kConnectTimeout{500};
 constexpr std::chrono::milliseconds kBodyEndTimeout{20};
@@ -38,8 +38,8 @@
       last_delivered_(request_.events_received) {}
 
 http::awaitable<Selection> ChatRun::nextPlacement(const std::string& last_engine,
-                                                  AttemptResult last) {
-  if (last == AttemptResult::Resume && !last_engine.empty()) {
+                                                  AttemptResult last_result) {
+  if (last_result == AttemptResult::Resume && !last_engine.empty()) {
     Selection same = co_await selector_.selectEngine(context_, last_engine);
     if (std::holds_alternative<Placement>(same)) {
       co_return same;
@@ -50,14 +50,14 @@
 
 http::awaitable<void> ChatRun::run() {
   std::string engine = request_.resume_engine;
-  AttemptResult last = engine.empty() ? AttemptResult::TryAnother : AttemptResult::Resume;
+  AttemptResult last_result = engine.empty() ? AttemptResult::TryAnother : AttemptResult::Resume;
   std::map<std::string, int> resumes;
   for (int attempts = 0; attempts < kMaxAttempts; ++attempts) {
     if (exchange_.clientDisconnected()) {
       ++stats_.cancelled_total;
       co_return;
     }
-    Selection selection = co_await nextPlacement(engine, last);
+    Selection selection = co_await nextPlacement(engine, last_result);
     if (const auto* refused = std::get_if<SelectionRefused>(&selection)) {
       http::Problem problem = http::Problem{.status = http::Status::service_unavailable,
                                             .code = refused->code,
@@ -69,29 +69,29 @@
     const Placement placement = std::get<Placement>(std::move(selection));
     engine = placement.engine.engine;
     stats_.retries_total += attempts > 0 ? 1 : 0;
-    last = co_await runAttempt(placement);
+    last_result = co_await runAttempt(placement);
     selector_.release(placement);
-    if (last == AttemptResult::Done) {
+    if (last_result == AttemptResult::Done) {
       tables_.recordRunnerSuccess(placement.engine.runner);
       co_await finishResponse(placement);
       co_return;
     }
-    if (last == AttemptResult::CallerGone) {
+    if (last_result == AttemptResult::CallerGone) {
       ++stats_.cancelled_total;
       co_await cancelOnRunner(placement);
       logOutcome(context_, engine, http::Execution::Unknown, 0);
       co_return;
     }
-    if (last == AttemptResult::Rejected) {
+    if (last_result == AttemptResult::Rejected) {
       co_return;
     }
-    if (last == AttemptResult::Resume) {
+    if (last_result == AttemptResult::Resume) {
       ++stats_.stream_resumes_total;
     }
-    if (last == AttemptResult::TryAnother || ++resumes[engine] > 1) {
+    if (last_result == AttemptResult::TryAnother || ++resumes[engine] > 1) {
       tables_.recordRunnerFailure(placement.engine.runner);
       failed_engines_.insert(engine);
-      last = AttemptResult::TryAnother;
+      last_result = AttemptResult::TryAnother;
     }
     if (clock_.monotonicMs() >= context_.deadline_ms) {
       break;
@@ -142,24 +142,24 @@
     co_return error->phase == http::CallPhase::Sent ? AttemptResult::Resume
                                                     : AttemptResult::TryAnother;
   }
-  http::ClientResponse& answer = *std::get<std::unique_ptr<http::ClientResponse>>(result);
-  tables_.recordBackoffRequest(placement.engine.runner, answer);
-  if (answer.status() == http::Status::ok) {
+  http::ClientResponse& response = *std::get<std::unique_ptr<http::ClientResponse>>(result);
+  tables_.recordBackoffRequest(placement.engine.runner, response);
+  if (response.status() == http::Status::ok) {
     context_.maybe_sent = true;
-    co_return co_await relayEvents(answer, placement);
+    co_return co_await relayEvents(response, placement);
   }
-  auto body = co_await answer.readAll(1U << 20U);
-  const bool not_run = answer.header("X-Execution").value_or("") == "not-run";
-  if (static_cast<unsigned>(answer.status()) >= 500 || !not_run) {
+  auto body = co_await response.readAll(1U << 20U);
+  const bool not_run = response.header("X-Execution").value_or("") == "not-run";
+  if (static_cast<unsigned>(response.status()) >= 500 || !not_run) {
     context_.maybe_sent = context_.maybe_sent || !not_run;
   }
-  if (static_cast<unsigned>(answer.status()) >= 500) {
+  if (static_cast<unsigned>(response.status()) >= 500) {
     context_.skipped_engines.push_back(SkippedEngine{
         .engine = placement.engine.engine,
-        .reason = "answered " + std::to_string(static_cast<unsigned>(answer.status()))});
+        .reason = "answered " + std::to_string(static_cast<unsigned>(response.status()))});
     co_return AttemptResult::TryAnother;
   }
-  http::Problem problem = http::Problem{.status = answer.status(),
+  http::Problem problem = http::Problem{.status = response.status(),
                                         .code = "rejected",
                                         .detail = std::holds_alternative<std::string>(body)
                                                       ? std::get<std::string>(body)
@@ -168,13 +168,13 @@
   co_return AttemptResult::Rejected;
 }
 
-http::awaitable<ChatRun::AttemptResult> ChatRun::relayEvents(http::ClientResponse& answer,
+http::awaitable<ChatRun::AttemptResult> ChatRun::relayEvents(http::ClientResponse& response,
                                                              const Placement& placement) {
-  exchange_.onDisconnect([&answer] { answer.cancel(); });
+  exchange_.onDisconnect([&response] { response.cancel(); });
   http::EventStreamParser parser;
   out_of_order_events_.clear();
   while (!complete_) {
-    auto chunk = co_await answer.read();
+    auto chunk = co_await response.read();
     const auto* text = std::get_if<std::string>(&chunk);
     if (exchange_.clientDisconnected()) {
       co_return AttemptResult::CallerGone;
@@ -194,9 +194,9 @@
   if (!complete_) {
     co_return AttemptResult::Resume;
   }
-  // What follows the last event is the end of the body; with it the connection can be kept.
-  answer.setReadTimeout(kBodyEndTimeout);
-  co_await answer.read();
+  // Reads the end of the body after the final event, so that the connection can be reused.
+  response.setReadTimeout(kBodyEndTimeout);
+  co_await response.read();
   co_return AttemptResult::Done;
 }
 
@@ -229,11 +229,11 @@
 }
 
 http::awaitable<bool> ChatRun::deliver(const std::string& data, const Placement& placement) {
-  const bool last = data == http::kDoneData;
-  if (!last) {
+  const bool is_last = data == http::kDoneData;
+  if (!is_last) {
     const json event = json::parse(data, nullptr, false);
     if (!belongsToRequest(event)) {
-      // Another request's event does not take this one's place.
+      // An event of another request is dropped without using up an event number.
       co_return true;
     }
     recordUsage(event);
@@ -243,7 +243,7 @@
     }
   }
   ++last_delivered_;
-  complete_ = last;
+  complete_ = is_last;
   if (!request_.stream) {
     co_return true;
   }
@@ -297,7 +297,8 @@
   ++(context_.maybe_sent ? stats_.answers_unknown_total : stats_.answers_not_run_total);
   logOutcome(context_, "", problem.execution, static_cast<unsigned>(problem.status));
   if (response_started_) {
-    // The caller sees a stream without its last event, and may take it up again elsewhere.
+    // The stream ends without the final event, so that the caller can tell that it is incomplete
+    // and resume it through another router.
     exchange_.abort();
     co_return;
   }
--- a/src/daemon/router/chat_run.h
+++ b/src/daemon/router/chat_run.h
@@ -1,6 +1,6 @@
 /// @file
-/// One chat completion: from a parsed request to the whole answer, over as many engines as it
-/// takes.
+/// Serves one chat completion request. Relays the engine's event stream to the caller, and resumes
+/// it on the same or another engine after a failure.
 #pragma once
 
 #include <map>
@@ -17,21 +17,22 @@
 
 namespace workshatch::daemon {
 
-/// What a caller asked for.
+/// A parsed chat completion request.
 struct ChatRequest {
   nlohmann::json body;
   bool stream = false;
   std::string session_name;
-  /// Events that the caller has already; from its `Last-Event-ID`.
+  /// Number of events that the caller has already received, from the header `Last-Event-ID`.
   uint64_t events_received = 0;
-  /// Engine that sent those; empty: not known.
+  /// Engine that sent these events; empty if not known.
   std::string resume_engine;
 };
 
-/// Serves one request on the caller's worker.
+/// Serves one request on the worker thread of the caller's connection.
 ///
-/// Guarantees: the caller gets each event of its own answer once and in order, or an end that is
-/// not the answer's; an event that carries another request's id is dropped.
+/// Guarantees: the caller receives each event of its response once and in order. If the response
+/// cannot be completed, the caller gets an error or a stream without the final event. Events that
+/// carry the id of another request are dropped.
 class ChatRun {
 public:
   ChatRun(http::Exchange& exchange, RequestContext& context, ChatRequest request,
@@ -43,17 +44,17 @@
 private:
   enum class AttemptResult {
     Done,
-    /// The runner cannot be reached or refuses work that it did not start.
+    /// The runner could not be reached or answered with a 5xx status.
     TryAnother,
-    /// The stream broke off; the same engine may still have it.
+    /// The connection failed after the request was sent; the engine may still work on the request.
     Resume,
     CallerGone,
-    /// The runner refused the request itself; the caller has its answer.
+    /// The runner rejected the request; the error has been sent to the caller.
     Rejected,
   };
 
   http::awaitable<AttemptResult> runAttempt(const Placement& placement);
-  http::awaitable<AttemptResult> relayEvents(http::ClientResponse& answer,
+  http::awaitable<AttemptResult> relayEvents(http::ClientResponse& response,
                                              const Placement& placement);
   http::awaitable<bool> acceptEvent(const http::ServerSentEvent& event, const Placement& placement);
   http::awaitable<bool> deliver(const std::string& data, const Placement& placement);
@@ -61,7 +62,8 @@
   http::awaitable<void> finishResponse(const Placement& placement);
   http::awaitable<void> failRequest(http::Problem problem);
   http::awaitable<void> cancelOnRunner(const Placement& placement);
-  http::awaitable<Selection> nextPlacement(const std::string& last_engine, AttemptResult last);
+  http::awaitable<Selection> nextPlacement(const std::string& last_engine,
+                                           AttemptResult last_result);
   http::Request upstreamRequest(const Placement& placement) const;
   bool belongsToRequest(const nlohmann::json& event) const;
   void recordUsage(const nlohmann::json& event);
@@ -77,7 +79,7 @@
 
   /// Number of the last event delivered; events of a stream are numbered from one.
   uint64_t last_delivered_ = 0;
-  /// Events that came before an earlier one.
+  /// Events received before an event with a lower number, by number.
   std::map<uint64_t, std::string> out_of_order_events_;
   bool response_started_ = false;
   bool complete_ = false;
--- a/src/daemon/router/decision_log.h
+++ b/src/daemon/router/decision_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// The log line of each routing decision.
+/// Log entries for routing decisions and for the outcomes of requests.
 #pragma once
 
 #include <string>
@@ -8,20 +8,20 @@
 
 namespace workshatch::daemon {
 
-/// The outcome of choosing an engine; an empty engine: none was found.
+/// Result of choosing an engine for a request. `engine` and `owner` are empty if none was found.
 struct Decision {
   std::string engine;
   std::string owner;
-  /// Why this engine, or why none.
+  /// Why this engine was chosen, or why none was found.
   std::string reason;
 };
 
-/// Writes the decision with the request's id, tenant, session, pool, engines passed over, revision,
-/// view and duration in microseconds.
-/// @return the duration in microseconds.
+/// Logs the decision with the request's id, tenant, session, service, the engines that were
+/// skipped, the configuration revision, the view, and the time since the request started.
+/// @return the time since the request started, in microseconds.
 uint64_t logDecision(const RequestContext& context, const Decision& decision);
 
-/// Writes how a request ended.
+/// Logs how a request ended. `status` is the HTTP status, or zero if the caller hung up.
 void logOutcome(const RequestContext& context, const std::string& engine, http::Execution execution,
                 unsigned status);
 
--- a/src/daemon/router/engine_selector.cc
+++ b/src/daemon/router/engine_selector.cc
@@ -15,11 +15,12 @@
 
 namespace {
 
-/// Engines asked before the request waits in a queue.
+/// Number of engines tried before the request waits in a queue.
 constexpr size_t kMaxCandidates = 4;
-/// How long a request waits for an engine with room.
+/// Limit on the time that a request waits in the queue of its first-choice engine.
 constexpr int64_t kMaxQueueMs = 2000;
-/// While engines change owners, another pass is made after this pause, for at most so long.
+/// Pause between passes over the candidates, and the time after which no further pass is made.
+/// Passes are repeated to bridge the time in which engines change owners.
 constexpr std::chrono::milliseconds kPassInterval{100};
 constexpr int64_t kMaxSelectionMs = 4000;
 constexpr uint32_t kMinRetryAfterMs = 1000;
--- a/src/daemon/router/engine_selector.h
+++ b/src/daemon/router/engine_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the engine for a request and gets its owner's permit.
+/// Chooses an engine for a request and obtains a permit for it from the engine's owner.
 #pragma once
 
 #include <set>
@@ -22,6 +22,7 @@
   v1::PermitId permit;
 };
 
+/// Why no engine was selected, as reported to the caller.
 struct SelectionRefused {
   std::string code;
   std::string detail;
@@ -30,24 +31,25 @@
 
 using Selection = std::variant<Placement, SelectionRefused>;
 
-/// Safe for concurrent use.
+/// Selects engines by rendezvous hashing of the session. Safe for concurrent use.
 class EngineSelector {
 public:
   EngineSelector(RouterTables& tables, PermitClient& permits, const Clock& clock,
                  metrics::RouterStats& stats);
 
-  /// Tries engines in the session's order. Engines in `excluded` are not tried.
+  /// Tries the usable engines that are not in `excluded`, in the order in which the session ranks
+  /// them. Waits for a limited time if none of them can take the request.
   boost::asio::awaitable<Selection> select(RequestContext& context,
                                            const std::set<std::string>& excluded);
 
-  /// Tries one engine, without waiting: the one that already works on the request.
+  /// Tries only the given engine, which already works on the request, without waiting in its queue.
   boost::asio::awaitable<Selection> selectEngine(RequestContext& context,
                                                  const std::string& engine);
 
   void release(const Placement& placement) { permits_.release(placement.permit); }
 
 private:
-  /// What one pass over the candidates came to.
+  /// Result of one pass over the candidates.
   struct PassResult {
     std::optional<Placement> placement;
     bool all_full = false;
--- a/src/daemon/router/permit_client.cc
+++ b/src/daemon/router/permit_client.cc
@@ -19,9 +19,9 @@
 namespace {
 
 constexpr int kMaxAttempts = 3;
-/// A waiter asks again after this long, in case the owner's answer was lost.
+/// A queued request is sent again after this long, in case the owner's reply was lost.
 constexpr std::chrono::milliseconds kQueuedRetryInterval{300};
-/// Permits in one report datagram, so that it fits one MTU.
+/// Limit on the permits in one report datagram, so that it fits into one MTU.
 constexpr size_t kMaxPermitsPerReport = 8;
 
 } // namespace
@@ -61,7 +61,7 @@
   const v1::PermitRequest request = requestFor(parameters);
   const bool local = owner->name() == name_;
   if (local && !tables_.mayServe()) {
-    // Without a lease another router may own the engine by now.
+    // Without a serving lease, another router may already own the engine.
     result.verdict = v1::PERMIT_NOT_OWNER;
     co_return result;
   }
@@ -72,7 +72,8 @@
   record.held_permit.set_tenant(parameters.tenant);
   record.held_permit.set_cost(parameters.cost);
   record.zone = parameters.engine.zone;
-  // Held from when it is asked for: a grant must not be released as unwanted.
+  // The permit is recorded before it is requested, because receive() releases a granted permit that
+  // has no record.
   tables_.addHeldPermit(record);
   const v1::PermitReply reply = co_await requestPermit(request, owner->peer_address(), local);
   result.permit = request.permit();
@@ -373,7 +374,8 @@
   for (const PermitRecord& record : tables_.heldPermits()) {
     const v1::RouterEntry* owner = routing::ownerOf(view, record.held_permit.engine(), record.zone);
     if (owner == nullptr || !record.granted) {
-      // What is only asked for is asked for again; reported, it would count as load for good.
+      // A permit that is not granted yet will be requested again. If it were reported, the owner
+      // would count it as load permanently.
       continue;
     }
     if (owner->name() == name_) {
--- a/src/daemon/router/permit_client.h
+++ b/src/daemon/router/permit_client.h
@@ -1,5 +1,6 @@
 /// @file
-/// Permits from the owners of engines, here or on another router.
+/// Requests permits from the owners of engines on this or other routers, and handles the datagrams
+/// that routers exchange about permits.
 #pragma once
 
 #include <atomic>
@@ -17,7 +18,7 @@
 
 namespace workshatch::daemon {
 
-/// What a request needs a permit for.
+/// Input of a permit request.
 struct PermitParameters {
   /// Id of the caller's request.
   std::string request_id;
@@ -26,12 +27,13 @@
   uint64_t cost = 1;
   uint64_t session = 0;
   int32_t priority = 0;
-  /// How long the request may wait at the owner; zero: it does not wait.
+  /// How long the request may wait in the owner's queue; zero if it must not wait.
   uint32_t wait_ms = 0;
+  /// Whether the owner must not redirect the session to another engine.
   bool no_redirect = false;
 };
 
-/// Answer of an owner, or that none came.
+/// An owner's reply to a permit request. The verdict is unspecified if the owner did not reply.
 struct PermitResult {
   v1::PermitId permit;
   v1::PermitVerdict verdict = v1::PERMIT_VERDICT_UNSPECIFIED;
@@ -40,10 +42,11 @@
   std::string owner;
 };
 
-/// Asks owners for permits and answers other routers' requests. Safe for concurrent use.
+/// Requests permits from owners, and answers other routers' requests for permits. Safe for
+/// concurrent use.
 ///
-/// Guarantees: a permit that is granted here is either returned to the caller or released; a
-/// release is sent until the owner has acknowledged it or left the view.
+/// Guarantees: a permit granted to this router is either returned to the caller or released. A
+/// release is sent repeatedly until the owner has acknowledged it or left the view.
 class PermitClient {
 public:
   PermitClient(std::string name, uint64_t incarnation, RouterTables& tables,
@@ -52,15 +55,15 @@
 
   boost::asio::awaitable<PermitResult> acquire(PermitParameters parameters);
   void release(const v1::PermitId& permit);
-  /// Tells the owner of the engine that the session ranks first where the session went.
+  /// Reports to the owner of the session's first-choice engine on which engine the session runs.
   void recordSessionMove(const routing::EngineInfo& first_choice, uint64_t session,
                          const std::string& engine);
 
-  /// Handles a datagram of another router; runs on the socket's worker.
+  /// Handles a datagram from another router. Called on the socket's worker thread.
   void receive(const v1::PeerDatagram& datagram);
 
-  /// Answers waiters, sends releases again, reports held permits under a new view. Runs often on
-  /// one worker.
+  /// Sends due replies to queued requests, repeats unacknowledged releases, and reports held
+  /// permits after a change of view. Called periodically on one worker thread.
   void tick();
 
 private:
@@ -69,7 +72,7 @@
         : executor(worker_executor), timer(worker_executor) {}
     boost::asio::any_io_executor executor;
     boost::asio::steady_timer timer;
-    /// Both belong to the executor.
+    /// `answered` and `reply` are accessed only on `executor`.
     bool answered = false;
     v1::PermitReply reply;
   };
@@ -79,7 +82,7 @@
     std::string zone;
   };
 
-  /// Part of the permits held here whose engines have a new owner.
+  /// Permits held here that one datagram reports to the new owner of their engines.
   struct HeldReport {
     std::string address;
     std::vector<v1::HeldPermit> permits;
@@ -114,7 +117,8 @@
   std::map<uint64_t, std::shared_ptr<PendingRequest>> pending_requests_;
   /// Releases not acknowledged yet. Guarded by mutex_.
   std::map<uint64_t, PendingRelease> pending_releases_;
-  /// Reports under `report_view_` that are not acknowledged, by number. Guarded by mutex_.
+  /// Reports for the view `report_view_` that are not acknowledged yet, by sequence number. Guarded
+  /// by mutex_.
   std::map<uint64_t, HeldReport> pending_reports_;
   uint64_t report_view_ = 0;
 };
--- a/src/daemon/router/request_context.h
+++ b/src/daemon/router/request_context.h
@@ -1,5 +1,5 @@
 /// @file
-/// What is known of one caller's request while it is served.
+/// State of one caller's request while it is being served.
 #pragma once
 
 #include <chrono>
@@ -12,19 +12,20 @@
 
 namespace workshatch::daemon {
 
-/// An engine that was considered and not used.
+/// An engine that was considered for a request but not used, and why.
 struct SkippedEngine {
   std::string engine;
   std::string reason;
 };
 
-/// Belongs to the coroutine that serves the request.
+/// Accessed only by the coroutine that serves the request.
 struct RequestContext {
   std::string id;
   std::string tenant;
   std::string service;
-  /// Fingerprint of the session; zero: none.
+  /// Fingerprint of the session; zero if there is none.
   uint64_t session = 0;
+  /// Load of the request in the load unit of its service.
   uint64_t cost = 1;
   int32_t priority = 0;
   int64_t started_ms = 0;
--- a/src/daemon/router/request_handler.cc
+++ b/src/daemon/router/request_handler.cc
@@ -39,7 +39,7 @@
   return found == configuration.services().end() ? nullptr : &*found;
 }
 
-/// The route with the longest matching prefix, or null.
+/// @return the route of the service with the longest prefix that matches `path`, or null.
 const v1::Route* findRoute(const v1::Configuration& configuration, const std::string& service,
                            std::string_view path) {
   const v1::Route* best = nullptr;
@@ -52,8 +52,8 @@
   return best;
 }
 
-/// @return whether the router was in a view that every router had in force; one that has just
-/// registered may not have its lease yet.
+/// @return whether the router is in the last view that was in force on every router, or no such
+/// view exists yet. A router that has just registered may not have a lease yet.
 bool isInSettledView(const serving::ServingSnapshot& serving_snapshot,
                      const v1::RouterEntry& router) {
   if (serving_snapshot.settled == nullptr) {
@@ -171,7 +171,8 @@
   context.started = std::chrono::steady_clock::now();
   context.started_ms = dependencies_.clock.monotonicMs();
   context.id = http::fieldOf(exchange.request(), "X-Request-Id").value_or(newRequestId());
-  // A caller that has events of the answer knows that the request ran, whatever is refused now.
+  // A caller that resumes a stream has received events, so the request may have run even if it is
+  // refused now.
   context.maybe_sent = resumesStream(exchange.request());
   context.serving_snapshot = dependencies_.tables.snapshot();
   if (!dependencies_.tables.mayServe()) {
@@ -269,7 +270,7 @@
   }
   const v1::Route* route = findRoute(*context.serving_snapshot.configuration, context.service,
                                      http::pathOf(request.target));
-  // Without a declaration that says otherwise, only methods that are safe to repeat are repeated.
+  // Without a route that declares it, a request is repeatable only if its method is safe to repeat.
   const bool safe_method = exchange.request().method() == http::Verb::get ||
                            exchange.request().method() == http::Verb::head;
   request.repeatable = route != nullptr ? route->repeatable() : safe_method;
@@ -317,7 +318,8 @@
       http::queryParameter(exchange.target(), "tenant").value_or(std::string());
   const uint64_t key = session.empty() ? routing::fingerprintOf(newRequestId())
                                        : routing::fingerprintOf(tenant + "\n" + session);
-  // The owner of the engine that the session ranks first comes first, then its zone.
+  // The owner of the engine that the session ranks first is listed first, then the routers in the
+  // zone of that engine.
   std::string owner_name;
   std::string zone = dependencies_.settings.zone();
   uint64_t best_weight = 0;
--- a/src/daemon/router/request_handler.h
+++ b/src/daemon/router/request_handler.h
@@ -1,5 +1,6 @@
 /// @file
-/// Dispatch of callers' requests: checks, limits, and the run that serves each.
+/// Dispatches callers' HTTP requests: checks them, applies the tenants' limits, and starts the
+/// ChatRun or ServiceRun that serves each.
 #pragma once
 
 #include <atomic>
@@ -21,7 +22,7 @@
 
 namespace workshatch::daemon {
 
-/// Safe for concurrent use.
+/// Handles all HTTP requests to the router. Safe for concurrent use.
 class RequestHandler {
 public:
   struct Dependencies {
@@ -34,7 +35,7 @@
     metrics::RouterStats& stats;
     const Clock& clock;
     WorkerPool& workers;
-    /// Gauges and counters of other parts, in the text exposition format.
+    /// Returns the metrics of other components in the text exposition format.
     std::function<std::string()> network_metrics;
   };
 
@@ -42,10 +43,12 @@
 
   boost::asio::awaitable<void> handle(http::Exchange& exchange);
 
-  /// Takes over the tenants of the configuration in force.
+  /// Applies the tenants of the configuration and their limits.
   void configure(const v1::Configuration& configuration);
-  /// This router is not offered to callers any more.
+  /// Marks the router as draining: it reports itself as not ready and closes connections after the
+  /// current response.
   void setDraining() { draining_ = true; }
+  /// @return the response to a request that the HTTP server refuses by itself.
   http::Response makeRefusal(http::Status status, const std::string& reason) const;
 
 private:
@@ -59,12 +62,13 @@
                                     http::Problem problem);
   bool admitTenant(const RequestContext& context, http::Problem& problem);
   std::vector<std::string> otherRouterAddresses(const v1::View& view) const;
-  /// The client of the worker that the coroutine runs on.
+  /// @return the HTTP client of the given worker.
   http::Client& clientOf(boost::asio::execution_context& worker) { return *clients_.at(&worker); }
 
   Dependencies dependencies_;
   std::atomic<bool> draining_{false};
-  /// One client a worker: its connections belong to the worker's thread. Never changed.
+  /// One client per worker, because its connections belong to the worker's thread. Not changed
+  /// after construction.
   std::map<const boost::asio::execution_context*, std::unique_ptr<http::Client>> clients_;
   std::mutex limiter_mutex_;
   /// Guarded by limiter_mutex_.
--- a/src/daemon/router/router_role.cc
+++ b/src/daemon/router/router_role.cc
@@ -23,12 +23,13 @@
 constexpr std::chrono::milliseconds kTickPeriod{20};
 constexpr std::chrono::milliseconds kRunnerPollPeriod{1000};
 constexpr int64_t kRenewTimeoutMs = 1000;
-/// A renewal that brought news is followed soon by one that tells it is in force.
+/// Pause after a renewal that brought a change, before the renewal that reports the change as in
+/// force.
 constexpr std::chrono::milliseconds kReportRenewPause{20};
-/// Without a lease, another try is made after this long.
+/// Pause after a failed renewal while there is no lease or a change is not reported yet.
 constexpr std::chrono::milliseconds kRenewRetryPause{100};
 constexpr int64_t kDepartTimeoutMs = 1000;
-/// Longest wait for the hand-off of ownership, when control cannot be reached.
+/// Limit on the wait for the hand-off of ownership, in case control cannot be reached.
 constexpr std::chrono::milliseconds kHandOffTimeout{5000};
 constexpr std::chrono::milliseconds kDrainPoll{20};
 constexpr std::chrono::milliseconds kPollTimeout{1000};
@@ -208,11 +209,11 @@
   http::Request request(http::Verb::get, "/v1/machines", 11);
   auto result = co_await client_.call(settings_.router().platform_address(), std::move(request),
                                       pollCallOptions());
-  if (auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
-    auto body = co_await (*answer)->readAll(kMaxResponseBytes);
+  if (auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
+    auto body = co_await (*response)->readAll(kMaxResponseBytes);
     if (const auto* text = std::get_if<std::string>(&body)) {
       const json list = json::parse(*text, nullptr, false);
-      if ((*answer)->status() == http::Status::ok && list.is_object()) {
+      if ((*response)->status() == http::Status::ok && list.is_object()) {
         tables_.setListed(parseMachineList(list));
         co_return;
       }
@@ -225,8 +226,8 @@
 asio::awaitable<void> RouterRole::runnerLoop() {
   while (!stopped_) {
     co_await pauseFor(kRunnerPollPeriod);
-    // Only the owner of a runner's first engine asks the runner, so that the number of questions
-    // does not grow with the number of routers.
+    // Only the owner of a runner's first engine polls the runner, so that the number of polls does
+    // not grow with the number of routers.
     for (const routing::EngineInfo& engine : tables_.ownedEngines()) {
       if (engine.number == 0) {
         asio::co_spawn(workers_.context(0), readRunnerReport(engine), asio::detached);
@@ -238,11 +239,11 @@
 asio::awaitable<void> RouterRole::readRunnerReport(routing::EngineInfo engine) {
   http::Request request(http::Verb::get, "/v1/load", 11);
   auto result = co_await client_.call(engine.address, std::move(request), pollCallOptions());
-  auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
-  if (answer == nullptr) {
+  auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
+  if (response == nullptr) {
     co_return;
   }
-  auto body = co_await (*answer)->readAll(kMaxResponseBytes);
+  auto body = co_await (*response)->readAll(kMaxResponseBytes);
   if (const auto* text = std::get_if<std::string>(&body)) {
     const json report = json::parse(*text, nullptr, false);
     if (report.is_object()) {
@@ -300,7 +301,7 @@
     }
   };
   wait_until(kHandOffTimeout, [this] { return ownershipHandedOff(); });
-  // Callers may keep an answer that names this address for its time to live.
+  // Callers may use an endpoint list with this address until the list's time to live has passed.
   std::this_thread::sleep_for(std::chrono::milliseconds(settings_.router().endpoints_ttl_ms()));
   server_.stopAccepting();
   logging::write(logging::Severity::Info, "drain_waiting",
--- a/src/daemon/router/router_role.h
+++ b/src/daemon/router/router_role.h
@@ -1,5 +1,5 @@
 /// @file
-/// The router role of a daemon: its parts, its periodic work, its planned stop.
+/// The router role of a daemon: its components, its periodic tasks and its planned stop.
 #pragma once
 
 #include <atomic>
@@ -18,16 +18,19 @@
 
 namespace workshatch::daemon {
 
-/// Constructed before the workers start, destroyed after they stopped.
+/// Must be constructed before the workers start and destroyed after they have stopped.
 class RouterRole {
 public:
   RouterRole(const v1::Settings& settings, uint64_t incarnation, WorkerPool& workers,
              const Clock& clock);
 
+  /// Opens the sockets and starts the periodic tasks.
+  /// @return an error if a socket cannot be opened.
   Result<std::monostate> start();
 
-  /// Planned stop: hands ownership off, goes on serving until callers have heard of other
-  /// addresses, and finishes what is in progress. Blocks the calling thread, no worker.
+  /// Performs a planned stop: hands off the ownership of engines, keeps serving until callers have
+  /// received other addresses, and waits for the requests in progress. Blocks the calling thread,
+  /// which must not be a worker thread.
   void drain();
 
 private:
@@ -58,9 +61,10 @@
   rpc::ControlClient control_;
   RequestHandler handler_;
   http::Server server_;
-  /// Client of worker 0, for the periodic work.
+  /// HTTP client of worker 0, used by the periodic tasks.
   http::Client client_;
-  /// What the control leader was last told to be in force here. Both belong to worker 0.
+  /// Revision and view last reported to the control leader as in force. Both are accessed only on
+  /// worker 0.
   uint64_t reported_revision_ = 0;
   uint64_t reported_view_ = 0;
   std::atomic<bool> draining_{false};
--- a/src/daemon/router/router_tables.cc
+++ b/src/daemon/router/router_tables.cc
@@ -85,8 +85,8 @@
 }
 
 void RouterTables::recordBackoffRequest(const std::string& runner,
-                                        const http::ClientResponse& answer) {
-  const auto asked_ms = http::requestedBackoffMs(answer);
+                                        const http::ClientResponse& response) {
+  const auto asked_ms = http::requestedBackoffMs(response);
   if (asked_ms) {
     const std::lock_guard lock(fleet_mutex_);
     fleet_.recordBackoffRequest(runner, *asked_ms, clock_.monotonicMs());
@@ -164,7 +164,8 @@
     status.engine = engine.engine;
     status.service = engine.service;
     status.leaving = engine.leaving;
-    // Until every router has this view, engines that change hands have no owner.
+    // Until the view is in force on every router, an engine that changes owners has no owner, so
+    // that two routers never own it at once.
     const bool was_owned = last_settled_view_ != nullptr &&
                            settled_ownership_.owns(last_settled_view_, engine.engine, engine.zone);
     status.owned = current_ownership_.owns(serving_snapshot.view, engine.engine, engine.zone) &&
--- a/src/daemon/router/router_tables.h
+++ b/src/daemon/router/router_tables.h
@@ -1,7 +1,8 @@
 /// @file
-/// The tables that a router's workers share, each behind its own lock.
+/// Tables that the worker threads of a router share, each guarded by its own mutex.
 ///
-/// Lock order: serving, fleet, owners, held. A thread that holds one may take only later ones.
+/// Lock order: refresh_mutex_, serving_mutex_, fleet_mutex_, permit_table_mutex_,
+/// held_permits_mutex_. A thread that has locked one of them may lock only later ones.
 #pragma once
 
 #include <memory>
@@ -19,16 +20,16 @@
 
 namespace workshatch::daemon {
 
-/// A permit that this router holds for a request in progress.
+/// A permit that this router has requested or holds for a request in progress.
 struct PermitRecord {
   v1::HeldPermit held_permit;
-  /// Zone of the engine, by which its owner is found.
+  /// Zone of the engine; the owner of the engine depends on it.
   std::string zone;
-  /// False while the owner has not answered yet.
+  /// Whether the owner has granted the permit.
   bool granted = false;
 };
 
-/// Safe for concurrent use.
+/// Serving state, fleet, permit table and held permits of a router. Safe for concurrent use.
 class RouterTables {
 public:
   RouterTables(std::string name, const Clock& clock, routing::HoldDownOptions hold_down);
@@ -36,8 +37,9 @@
   serving::ServingSnapshot snapshot() const;
   bool mayServe() const;
 
-  /// Takes over a renewal's answer and what follows from it.
-  /// @return false when the answer was ignored.
+  /// Applies the reply to a lease renewal to all tables.
+  /// @param sent_ms when the renewal was sent
+  /// @return false if the reply does not fit the state in force and was ignored.
   bool applyRenewal(const v1::RenewReply& reply, int64_t sent_ms);
   uint64_t reportedView() const;
   void setReportedView(uint64_t view);
@@ -45,8 +47,9 @@
   void setListed(std::vector<routing::ListedRunner> listed);
   void recordRunnerFailure(const std::string& runner);
   void recordRunnerSuccess(const std::string& runner);
-  /// Takes what an answer of the runner asks for: no requests for a time.
-  void recordBackoffRequest(const std::string& runner, const http::ClientResponse& answer);
+  /// Records the backoff that the runner's response asks for, if any. The runner gets no requests
+  /// during that time.
+  void recordBackoffRequest(const std::string& runner, const http::ClientResponse& response);
   void setRunnerLeaving(const std::string& runner, bool leaving);
   std::vector<routing::EngineInfo> engines(const std::string& service) const;
   std::optional<routing::EngineInfo> findEngine(const std::string& engine) const;
@@ -54,7 +57,7 @@
   /// Engines that this router owned when ownership was last recomputed.
   std::vector<routing::EngineInfo> ownedEngines() const;
 
-  /// Runs `use` on the owner table under its lock.
+  /// Calls `use` on the permit table while its mutex is locked.
   template <typename Use> auto withPermitTable(Use use) {
     const std::lock_guard lock(permit_table_mutex_);
     return use(permit_table_);
@@ -62,12 +65,13 @@
 
   void addHeldPermit(const PermitRecord& permit);
   void markGranted(const v1::PermitId& permit);
-  /// @return the permit, if it was held.
+  /// @return the removed permit, or none if it was not held.
   std::optional<PermitRecord> removeHeldPermit(const v1::PermitId& permit);
   bool holdsPermit(const v1::PermitId& permit) const;
   std::vector<PermitRecord> heldPermits() const;
 
-  /// Recomputes which engines exist and which are owned here. Called after each change of either.
+  /// Recomputes which engines exist and which of them this router owns. Must be called after each
+  /// change of the engines or of the view.
   void refreshOwnership();
 
 private:
@@ -83,11 +87,11 @@
   mutable std::mutex held_permits_mutex_;
   std::map<admission::PermitKey, PermitRecord> held_permits_;
 
-  /// Serializes refreshOwnership; taken before all others.
+  /// Serializes refreshOwnership().
   std::mutex refresh_mutex_;
-  /// View under which engines were owned last. Guarded by refresh_mutex_.
+  /// The last view that every router had in force. Guarded by refresh_mutex_.
   std::shared_ptr<const v1::View> last_settled_view_;
-  /// Under the view in force, and under `last_settled_view_`. Guarded by refresh_mutex_.
+  /// Ownership under the view in force, and under `last_settled_view_`. Guarded by refresh_mutex_.
   routing::OwnershipCache current_ownership_;
   routing::OwnershipCache settled_ownership_;
   /// Guarded by fleet_mutex_.
--- a/src/daemon/router/service_run.cc
+++ b/src/daemon/router/service_run.cc
@@ -20,12 +20,12 @@
 constexpr std::chrono::milliseconds kConnectTimeout{500};
 /// How long a router tries to reach the ledger before it refuses the request.
 constexpr int64_t kLedgerTimeoutMs = 4000;
-/// How long it goes on recording what happened after the caller has its answer.
+/// How long a router tries to record the outcome in the ledger after it has answered the caller.
 constexpr int64_t kLedgerBackgroundTimeoutMs = 120'000;
 constexpr std::chrono::milliseconds kInProgressPollInterval{100};
 constexpr uint32_t kRetryAfterMs = 1000;
 constexpr size_t kMaxAnswerBytes = 4U << 20U;
-/// Parts of a ledger key are joined by a character that no name contains.
+/// Separates the parts of a ledger key; no name contains this character.
 constexpr char kKeySeparator = '\n';
 
 uint64_t newAttemptId() {
@@ -35,7 +35,7 @@
 
 constexpr const char* kLedgerUnreachable = "ledger-unreachable";
 
-/// The refusal that follows from the ledger's answer to a begin.
+/// @return the error for the caller if the ledger did not grant a request, by the ledger's outcome.
 http::Problem ledgerProblem(v1::LedgerOutcome outcome) {
   http::Problem problem;
   switch (outcome) {
@@ -121,7 +121,7 @@
   }
   const ServiceOutcome outcome = co_await dispatch();
   if (outcome.execution == http::Execution::Completed) {
-    co_await answer(outcome.answer, outcome.engine, false);
+    co_await sendAnswer(outcome.answer, outcome.engine, false);
   } else {
     co_await sendProblem(outcome.problem);
   }
@@ -154,14 +154,15 @@
   }
 }
 
-/// @return whether the request has ended; false: another engine may be tried.
+/// Sends the request to one engine.
+/// @return whether the request has ended; if not, another engine may be tried.
 http::awaitable<bool> ServiceRun::dispatchTo(const Placement& placement, ServiceOutcome& outcome) {
   outcome.engine = placement.engine.engine;
   http::CallOptions options;
   options.connect_timeout = kConnectTimeout;
   options.read_timeout = std::chrono::milliseconds(remainingMs());
-  // A kept connection may have been closed at the other end: whether the request ran would be in
-  // doubt.
+  // The back end may have closed a reused connection; it would then be unknown whether the request
+  // ran.
   options.fresh_connection = !request_.repeatable;
   http::CallCancel cancel;
   if (request_.repeatable) {
@@ -173,12 +174,12 @@
   const auto* error = std::get_if<http::CallError>(&result);
   std::variant<std::string, http::CallError> body = std::string();
   if (error == nullptr) {
-    http::ClientResponse& answer = *std::get<std::unique_ptr<http::ClientResponse>>(result);
-    tables_.recordBackoffRequest(placement.engine.runner, answer);
-    body = co_await answer.readAll(kMaxAnswerBytes);
+    http::ClientResponse& response = *std::get<std::unique_ptr<http::ClientResponse>>(result);
+    tables_.recordBackoffRequest(placement.engine.runner, response);
+    body = co_await response.readAll(kMaxAnswerBytes);
     if (std::holds_alternative<std::string>(body)) {
-      const auto status = static_cast<unsigned>(answer.status());
-      const bool refused = answer.header("X-Execution").value_or("") == "not-run";
+      const auto status = static_cast<unsigned>(response.status());
+      const bool refused = response.header("X-Execution").value_or("") == "not-run";
       if (refused && status >= 500) {
         context_.skipped_engines.push_back(
             SkippedEngine{.engine = placement.engine.engine, .reason = "refused before it ran"});
@@ -186,7 +187,7 @@
       }
       outcome.execution = http::Execution::Completed;
       outcome.answer.set_http_status(status);
-      outcome.answer.set_content_type(answer.header("Content-Type").value_or("text/plain"));
+      outcome.answer.set_content_type(response.header("Content-Type").value_or("text/plain"));
       outcome.answer.set_body(std::get<std::string>(std::move(body)));
       tables_.recordRunnerSuccess(placement.engine.runner);
       co_return true;
@@ -252,13 +253,14 @@
   }
   if (begun.outcome() == v1::LEDGER_ANSWERED) {
     ++stats_.ledger_replays_total;
-    co_await answer(begun.answer(), "", true);
+    co_await sendAnswer(begun.answer(), "", true);
     co_return;
   }
   ServiceOutcome refused;
   refused.problem = ledgerProblem(begun.outcome());
   if (refused.problem.code == kLedgerUnreachable) {
-    // Nothing was dispatched; a begin that is still under way must not stay open.
+    // Nothing was dispatched. The abort closes the entry of a begin call that may still take
+    // effect.
     co_await abandonInLedger(std::move(refused));
   } else {
     co_await sendProblem(std::move(refused.problem));
@@ -296,7 +298,7 @@
   const bool answered =
       !isError(recorded) && std::get<v1::LedgerReply>(recorded).outcome() == v1::LEDGER_ANSWERED;
   if (answered) {
-    co_await answer(std::get<v1::LedgerReply>(recorded).answer(), outcome.engine, false);
+    co_await sendAnswer(std::get<v1::LedgerReply>(recorded).answer(), outcome.engine, false);
     co_return;
   }
   http::Problem problem = outcome.problem;
@@ -310,8 +312,8 @@
   co_await sendProblem(std::move(problem));
 }
 
-http::awaitable<void> ServiceRun::answer(const v1::RecordedAnswer& recorded,
-                                         const std::string& engine, bool replayed) {
+http::awaitable<void> ServiceRun::sendAnswer(const v1::RecordedAnswer& recorded,
+                                             const std::string& engine, bool replayed) {
   ++stats_.answers_completed_total;
   logOutcome(context_, engine, http::Execution::Completed, recorded.http_status());
   http::Response response = http::makeResponse(static_cast<http::Status>(recorded.http_status()),
--- a/src/daemon/router/service_run.h
+++ b/src/daemon/router/service_run.h
@@ -1,5 +1,5 @@
 /// @file
-/// One request to a plain service, repeatable or not.
+/// Serves one request to a plain service. A request that is not repeatable runs at most once.
 #pragma once
 
 #include <set>
@@ -16,11 +16,11 @@
   /// Path and query at the back end.
   std::string target;
   bool repeatable = true;
-  /// Key of a request that may not be repeated.
+  /// Value of the header `Idempotency-Key`; required if the request is not repeatable.
   std::string idempotency_key;
 };
 
-/// What the back end answered, or how the request ended without.
+/// The back end's answer, or the error for the caller if there is none.
 struct ServiceOutcome {
   http::Execution execution = http::Execution::NotRun;
   v1::RecordedAnswer answer;
@@ -28,11 +28,11 @@
   std::string engine;
 };
 
-/// Serves one request on the caller's worker.
+/// Serves one request on the worker thread of the caller's connection.
 ///
-/// Guarantees for a request that may not be repeated: the ledger has granted it before its first
-/// byte goes to a back end, no attempt follows one of which a byte may have been written, and the
-/// answer is recorded before the caller sees it.
+/// Guarantees for a request that is not repeatable: the ledger has granted it before its first byte
+/// is sent to a back end; it is not tried again once a byte may have been sent; and the answer is
+/// recorded in the ledger before it is sent to the caller.
 class ServiceRun {
 public:
   ServiceRun(http::Exchange& exchange, RequestContext& context, ServiceRequest request,
@@ -49,8 +49,8 @@
   http::awaitable<v1::LedgerReply> beginInLedger();
   http::awaitable<void> recordInLedger(ServiceOutcome outcome);
   http::awaitable<void> abandonInLedger(ServiceOutcome outcome);
-  http::awaitable<void> answer(const v1::RecordedAnswer& recorded, const std::string& engine,
-                               bool replayed);
+  http::awaitable<void> sendAnswer(const v1::RecordedAnswer& recorded, const std::string& engine,
+                                   bool replayed);
   http::awaitable<void> sendProblem(http::Problem problem);
   http::Request upstreamRequest(const Placement& placement) const;
   std::string ledgerKey() const;
