--- a/tests/unit/daemon/router/chat_request_test.cc
+++ b/tests/unit/daemon/router/chat_request_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What the router takes from a chat request, and the methods of its own paths.
+/// Tests of the parsing of chat requests and of the methods allowed on the router's own paths.
 #include <doctest/doctest.h>
 
 #include "core/header_text.h"
@@ -8,7 +8,7 @@
 
 namespace workshatch::test {
 
-TEST_CASE("The session of a chat without a session header is a fingerprint of its opening") {
+TEST_CASE("The session of a chat without session header is a fingerprint of its first messages") {
   http::Request request(http::Verb::post, "/v1/chat/completions", 11);
   request.body() = R"({"model":"m","messages":[{"role":"user",)"
                    R"("content":"hello\r\n\r\nGET /smuggled HTTP/1.1\r\n"}]})";
@@ -22,7 +22,7 @@
   CHECK(std::get<daemon::ChatRequest>(again).session_name == chat->session_name);
 }
 
-TEST_CASE("The router's own paths take GET only") {
+TEST_CASE("The router's own paths allow only GET") {
   CHECK(daemon::allowedMethods("/v1/endpoints") == "GET");
   CHECK(daemon::methodAllowed("GET", http::Verb::get));
   CHECK_FALSE(daemon::methodAllowed("GET", http::Verb::delete_));
--- a/tests/unit/daemon/router/request_handler_test.cc
+++ b/tests/unit/daemon/router/request_handler_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What the request handler refuses before a run begins, and what it says of the request then.
+/// Tests of the execution state that the request handler reports for requests that it refuses.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <doctest/doctest.h>
@@ -26,8 +26,8 @@
   return settings;
 }
 
-/// A router's request handler behind an HTTP server. It never had a lease, as a router that has
-/// just started.
+/// A router's request handler behind an HTTP server. It has no lease, like a router that has just
+/// started.
 class RouterWithoutLease {
 public:
   RouterWithoutLease()
@@ -44,7 +44,8 @@
   RouterWithoutLease(const RouterWithoutLease&) = delete;
   RouterWithoutLease& operator=(const RouterWithoutLease&) = delete;
 
-  /// Sends the request and returns the answer's X-Execution.
+  /// Sends the request.
+  /// @return the header `X-Execution` of the response.
   std::string executionHeaderFor(http::Request request) const {
     asio::io_context context;
     http::Client client(context);
@@ -53,9 +54,9 @@
         context,
         [&]() -> http::awaitable<void> {
           http::CallResult result = co_await client.call(address_, std::move(request), {});
-          auto& answer = *std::get<std::unique_ptr<http::ClientResponse>>(result);
-          execution = answer.header("X-Execution").value_or("missing");
-          co_await answer.readAll(kMaxBodyBytes);
+          auto& response = *std::get<std::unique_ptr<http::ClientResponse>>(result);
+          execution = response.header("X-Execution").value_or("missing");
+          co_await response.readAll(kMaxBodyBytes);
         },
         asio::detached);
     context.run();
@@ -100,7 +101,7 @@
 
 } // namespace
 
-TEST_CASE("A router without a lease does not say of a request that goes on that it has not run") {
+TEST_CASE("Without a lease, a request that resumes a stream is refused with execution unknown") {
   const RouterWithoutLease router;
   CHECK(router.executionHeaderFor(chatRequest()) == "not-run");
 
