--- a/src/standin/injected_faults.h
+++ b/src/standin/injected_faults.h
@@ -1,5 +1,5 @@
 /// @file
-/// InjectedFaults of a stand-in, set by flags or over its fault endpoint.
+/// Faults that a test injects into a back-end stand-in through its `/fault` endpoint.
 #pragma once
 
 #include <cstdint>
@@ -14,29 +14,30 @@
 
 namespace workshatch::standin {
 
-/// Exit code of a stand-in that was told to die, as of a killed process.
+/// Exit code after the `die` fault: the code that a shell reports for a process ended by SIGKILL.
 inline constexpr int kKilledExitCode = 137;
 
-/// Belongs to the stand-in's one worker. `"die": true` ends the process at once.
+/// The current fault settings. Not safe for concurrent use; owned by the stand-in's only worker.
 struct InjectedFaults {
-  /// Answers wait while this is true.
+  /// Responses are held back while this is true.
   bool frozen = false;
-  /// Added before each answer, milliseconds.
+  /// Delay before each response or stream event, milliseconds.
   uint32_t delay_ms = 0;
-  /// Connections are cut after this many events of a stream, or before a plain answer; this many
-  /// times.
+  /// Number of stream events that are sent before the connection is cut. Connections of plain
+  /// responses are cut only if this is zero.
   uint32_t cut_after = 0;
+  /// Number of connections that are still to be cut.
   uint32_t cut_times = 0;
-  /// Each second event of a stream is sent before the one that precedes it.
+  /// Swaps consecutive stream events in pairs.
   bool out_of_order = false;
-  /// Events of another request are mixed into streams.
+  /// Sends an event of another request before each event of a stream.
   bool foreign_events = false;
-  /// Requests are refused before they run.
+  /// Rejects requests before they run.
   bool refuse = false;
-  /// The runner says that it is leaving.
+  /// Load reports announce that the runner is leaving.
   bool leaving = false;
 
-  /// Sets the members that the JSON object names.
+  /// Sets the fields that are present in `members`. `"die": true` ends the process at once.
   void set(const nlohmann::json& members) {
     frozen = members.value("frozen", frozen);
     delay_ms = members.value("delay_ms", delay_ms);
@@ -51,7 +52,7 @@
     }
   }
 
-  /// Waits as the faults ask for.
+  /// Waits for `delay_ms` and then until `frozen` is false.
   boost::asio::awaitable<void> applyDelay() const {
     constexpr std::chrono::milliseconds kFrozenPollInterval{20};
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor);
@@ -65,7 +66,9 @@
     }
   }
 
-  /// @return whether the connection is to be cut now; counts the cut.
+  /// Decides whether to cut the connection; each cut uses up one of `cut_times`.
+  /// @param events events that were already sent on the stream; zero for a plain response
+  /// @return true when the caller must cut the connection now.
   bool consumeCut(uint32_t events) {
     if (cut_times == 0 || events < cut_after) {
       return false;
--- a/src/standin/main.cc
+++ b/src/standin/main.cc
@@ -1,5 +1,6 @@
 /// @file
-/// workshatch-standin: stand-ins for what the system serves, each a process.
+/// workshatch-standin: runs one stand-in process for tests: a model runner, a plain service or the
+/// platform.
 #include <cstdio>
 #include <fstream>
 #include <functional>
@@ -58,7 +59,7 @@
   return list.is_array() ? list : nlohmann::json::array();
 }
 
-/// The stand-in asked for; empty when the kind is not known.
+/// @return the handler of the stand-in that --kind selects; null if the kind is unknown.
 http::Server::Handler makeHandler() {
   if (FLAGS_kind == "model") {
     auto runner = std::make_shared<standin::ModelRunner>(modelOptions());
--- a/src/standin/model_runner.cc
+++ b/src/standin/model_runner.cc
@@ -22,8 +22,9 @@
 namespace {
 
 constexpr uint32_t kDefaultMaxTokens = 64;
-/// Each other stream of an engine lengthens a step by this part of it.
+/// Each other stream of the engine lengthens a step by 1/32.
 constexpr uint32_t kBatchSlowdownDivisor = 32;
+/// Cache events whose sequence number is a multiple of this are dropped.
 constexpr uint64_t kDroppedEventInterval = 8;
 
 http::awaitable<void> sleepFor(std::chrono::microseconds time) {
@@ -150,7 +151,7 @@
   }
   std::string delayed_events;
   std::string text;
-  // Events 1 to max_tokens carry a token each, the next the usage, the last the end.
+  // Events 1 to max_tokens carry one token each. Two more carry the usage and the end marker.
   const uint64_t last = job.max_tokens + 2;
   uint32_t sent = 0;
   for (uint64_t number = job.events_sent + 1; number <= last; ++number) {
@@ -245,14 +246,14 @@
   json report = {{"runner", options_.name}, {"leaving", faults_.leaving}};
   report["streams"] = samples_.front().streams;
   json now = json::array();
-  json most = json::array();
+  json peaks = json::array();
   for (const auto& engine : engines_) {
     now.push_back(engine->streams);
-    most.push_back(engine->peak_streams);
+    peaks.push_back(engine->peak_streams);
   }
-  // For tests only; a real runner has no report without a lag.
+  // Current figures for tests only. Reports of a real runner always lag.
   report["streams_now"] = now;
-  report["most_streams"] = most;
+  report["most_streams"] = peaks;
   http::Response response = jsonResponse(report);
   co_await exchange.respond(std::move(response));
 }
--- a/src/standin/plain_service.h
+++ b/src/standin/plain_service.h
@@ -1,5 +1,5 @@
 /// @file
-/// Stand-in for a plain service: bookings, confirmations, tickets. Counts runs by key.
+/// Stand-in for a plain service, such as bookings or tickets. Counts runs by idempotency key.
 #pragma once
 
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace workshatch::standin {
 
-/// Belongs to one worker.
+/// HTTP handler of the stand-in. Not safe for concurrent use; owned by one worker.
 class PlainService {
 public:
-  /// @param run_log file that each run is noted in; empty: none.
+  /// @param run_log file to which each run is appended; empty for no file
   PlainService(std::string name, const std::string& run_log)
       : name_(std::move(name)), runs_(run_log) {}
 
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -1,6 +1,6 @@
 /// @file
-/// Stand-in for the platform: the list of live and leaving machines, which lags, and a weight store
-/// that limits its rate.
+/// Stand-in for the platform: a machine list that lags behind changes, and a rate-limited store of
+/// model weights.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,12 @@
 
 namespace workshatch::standin {
 
-/// Belongs to one worker.
+/// HTTP handler of the stand-in. Not safe for concurrent use; owned by one worker.
 ///
-/// `GET /v1/machines` gives the list as it was `lag_ms` ago; `PUT /v1/machines/{runner}` with a
-/// machine, or `DELETE`, changes it; `PUT /lag` with `{"lag_ms": n}` sets the lag;
-/// `GET /v1/weights/{model}` succeeds `weights_per_second` times a second.
+/// - `GET /v1/machines` returns the list as it was `lag_ms` ago.
+/// - `PUT /v1/machines/{runner}` with a machine adds or updates it; `DELETE` removes it.
+/// - `PUT /lag` with `{"lag_ms": n}` sets the lag.
+/// - `GET /v1/weights/{model}` succeeds at most `weights_per_second` times a second.
 class Platform {
 public:
   Platform(nlohmann::json machines, int64_t lag_ms, uint32_t weights_per_second);
@@ -25,6 +26,7 @@
   http::awaitable<void> handle(http::Exchange& exchange);
 
 private:
+  /// The machine list from `at_ms` on.
   struct Version {
     int64_t at_ms = 0;
     nlohmann::json machines;
@@ -32,12 +34,14 @@
 
   http::awaitable<void> changeMachine(http::Exchange& exchange, const std::string& runner);
   http::awaitable<void> serveWeights(http::Exchange& exchange);
+  /// @return the list as it was `lag_ms` before `now_ms`; drops older versions.
   const nlohmann::json& visibleMachines(int64_t now_ms);
 
   int64_t lag_ms_;
   const uint32_t weights_per_second_;
-  /// Oldest first; the first is what shows now.
+  /// Oldest first. The first version is the one that is visible now.
   std::deque<Version> versions_;
+  /// Second to which the count of served weights applies.
   int64_t rate_window_s_ = 0;
   uint32_t served_in_window_ = 0;
 };
--- a/src/standin/prefix_cache.h
+++ b/src/standin/prefix_cache.h
@@ -1,6 +1,5 @@
 /// @file
-/// The prefix cache of an emulated engine: blocks of tokens in limited memory, least recently used
-/// evicted first.
+/// Prefix cache of an emulated engine: token blocks in limited memory with LRU eviction.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +12,9 @@
 
 struct CacheEvent {
   uint64_t sequence = 0;
+  /// True when the block was stored, false when it was evicted.
   bool stored = true;
+  /// Hash of the block and all blocks before it in the prompt.
   uint64_t block = 0;
 };
 
@@ -22,20 +23,20 @@
 public:
   explicit PrefixCache(size_t capacity_blocks) : capacity_blocks_(capacity_blocks) {}
 
-  /// Looks a prompt up and stores what is missing.
-  /// @return tokens of the prompt that were found, from its start.
+  /// Looks up the full blocks of a prompt and stores the missing ones.
+  /// @return number of cached tokens at the start of the prompt.
   uint64_t lookupAndStore(const std::string& prompt);
 
   size_t blockCount() const { return index_.size(); }
   uint64_t evictions() const { return evictions_; }
-  /// Events after `sequence`; older ones than are kept show as a gap.
+  /// @return the retained events after `sequence`. Dropped events show as a gap in the sequence.
   std::vector<CacheEvent> eventsAfter(uint64_t sequence) const;
 
-  /// All blocks, for an export, oldest first.
+  /// @return all blocks, least recently used first.
   std::vector<uint64_t> exportBlocks() const;
   void importBlocks(const std::vector<uint64_t>& blocks);
 
-  /// Tokens of a text, estimated.
+  /// @return the estimated number of tokens of a text: one for each four bytes, rounded up.
   static uint64_t estimateTokens(const std::string& text);
 
 private:
--- a/src/standin/run_record.h
+++ b/src/standin/run_record.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counts of runs by request, kept by every back-end stand-in as the truth that tests compare with.
+/// Counts how often each request ran in a back-end stand-in. Tests compare the responses with it.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 namespace workshatch::standin {
 
-/// Belongs to the stand-in's one worker.
+/// Not safe for concurrent use; owned by the stand-in's only worker.
 class RunRecord {
 public:
-  /// @param path file that gets a line for each run, before it starts, and outlives a killed
-  /// process; empty: none.
+  /// @param path file to which a line is appended before each run, so that the record survives a
+  /// killed process; empty for no file
   explicit RunRecord(const std::string& path) {
     if (!path.empty()) {
       constexpr int kFileMode = 0600;
@@ -33,13 +33,14 @@
   RunRecord(const RunRecord&) = delete;
   RunRecord& operator=(const RunRecord&) = delete;
 
-  /// @param id the request's id
-  /// @param key its idempotency key, or empty
-  /// @return how often the key, or else the id, has run, this run included.
+  /// Records a run. Aborts the process if the file cannot be written.
+  /// @param id request id
+  /// @param key idempotency key, or empty
+  /// @return number of runs of the key, or of the id if there is no key, including this one.
   uint64_t recordRun(const std::string& id, const std::string& key) {
     if (file_ >= 0) {
       const std::string line = id + "\t" + key + "\n";
-      // A line that cannot be written would hide a run: the stand-in stops.
+      // A missing line would hide a run from the test, so the stand-in aborts.
       if (::write(file_, line.data(), line.size()) != static_cast<ssize_t>(line.size())) {
         std::abort();
       }
@@ -47,12 +48,13 @@
     return ++runs_[key.empty() ? id : key];
   }
 
-  /// All counts as a JSON object.
+  /// @return a response whose body is a JSON object of all counts.
   http::Response toResponse() const {
     return http::makeResponse(http::Status::ok, "application/json", nlohmann::json(runs_).dump());
   }
 
 private:
+  /// Number of runs by key, or by id for requests without a key.
   std::map<std::string, uint64_t> runs_;
   int file_ = -1;
 };
