--- a/src/scenario/command_options.h
+++ b/src/scenario/command_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// Options of commands, and limits that commands share.
+/// Parses the options of scenario commands; defines timeouts that several commands use.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,23 @@
 
 namespace workshatch::scenario {
 
-/// How long an operator's call looks for the leader.
+/// How long an operator call searches for the leader.
 inline constexpr int64_t kOperatorTimeoutMs = 30'000;
-/// The same for calls that are made again and again until something shows.
+/// The same timeout for calls that are repeated until a condition holds.
 inline constexpr int64_t kStatusTimeoutMs = 1000;
 
-/// Outcome of a command that went well.
+/// Result of a command that succeeded.
 inline constexpr std::monostate kDone;
 
-/// @return the option as a number, or `fallback` when it is not given; throws on a bad number.
+/// @return the option as a number, or `fallback` if it is not set.
+/// @throws std::logic_error if the value is not a number.
 inline uint32_t numberOption(const Command& command, const std::string& name, uint32_t fallback) {
   const auto found = command.options.find(name);
   return found == command.options.end() ? fallback
                                         : static_cast<uint32_t>(std::stoul(found->second));
 }
 
+/// @return the option, or `fallback` if it is not set.
 inline std::string textOption(const Command& command, const std::string& name,
                               const std::string& fallback) {
   const auto found = command.options.find(name);
--- a/src/scenario/fleet.cc
+++ b/src/scenario/fleet.cc
@@ -19,7 +19,7 @@
 constexpr uint32_t kFirstModelHost = 21;
 constexpr uint32_t kFirstServiceHost = 61;
 constexpr uint32_t kFirstProxyPort = 20'000;
-/// Relay ports of one daemon's links, two a link.
+/// Proxy ports for the links from one daemon; each link uses two.
 constexpr uint32_t kProxyPortsPerDaemon = 64;
 
 Result<std::monostate> writeFile(const std::string& path, const std::string& content) {
@@ -192,7 +192,7 @@
       forward->second.rpc->cuts().forward = cut;
     }
   }
-  // Answers that `from` gives on connections of `to`.
+  // Responses that `from` sends on connections opened by `to`.
   const auto backward = links_.find(linkName(to, from));
   if (backward != links_.end() && backward->second.rpc) {
     backward->second.rpc->cuts().backward = cut;
--- a/src/scenario/invariants.cc
+++ b/src/scenario/invariants.cc
@@ -14,12 +14,14 @@
 
 namespace {
 
-/// An accepted change is in force on every router that serves within this time.
+/// Every serving router must have activated an accepted change within this time.
 constexpr int64_t kActivationDeadlineMs = 3000;
-/// A refusal takes no longer than looking for an engine or the ledger does.
+/// Maximum time until a refusal: it must not take longer than the search for an engine or for the
+/// ledger.
 constexpr int64_t kMaxRefusalMs = 9000;
 constexpr size_t kMaxReportedViolations = 10;
 
+/// Runs that the back ends recorded.
 struct RecordedRuns {
   std::set<std::string> ids;
   std::map<std::string, uint64_t> by_key;
@@ -33,8 +35,8 @@
   InvariantReport check() {
     readRunLogs();
     for (const LoadGenerator* load : inputs_.loads) {
-      for (const AttemptResult& answer : load->attempts()) {
-        checkAttempt(answer);
+      for (const AttemptResult& attempt : load->attempts()) {
+        checkAttempt(attempt);
       }
       for (const ChatTurn& chat_turn : load->chatTurns()) {
         checkChatTurn(chat_turn);
@@ -68,17 +70,17 @@
     }
   }
 
-  void checkAttempt(const AttemptResult& answer) {
-    switch (answer.kind) {
+  void checkAttempt(const AttemptResult& attempt) {
+    switch (attempt.outcome) {
     case AttemptOutcome::Completed:
       ++report_.counts.completed;
-      if (!answer.key.empty()) {
-        answers_by_key_[answer.key].insert(answer.body);
+      if (!attempt.key.empty()) {
+        responses_by_key_[attempt.key].insert(attempt.body);
       }
       break;
     case AttemptOutcome::NotRun:
       ++report_.counts.not_run;
-      checkRefusal(answer);
+      checkRefusal(attempt);
       break;
     case AttemptOutcome::Unknown:
       ++report_.counts.unknown;
@@ -87,22 +89,22 @@
       ++report_.counts.lost;
       break;
     case AttemptOutcome::Rejected:
-      fail("request " + answer.id + " was rejected: " + answer.body);
+      fail("request " + attempt.id + " was rejected: " + attempt.body);
     }
   }
 
-  void checkRefusal(const AttemptResult& answer) {
-    if (runs_.ids.contains(answer.id)) {
-      fail("request " + answer.id + " was answered not-run and ran");
+  void checkRefusal(const AttemptResult& attempt) {
+    if (runs_.ids.contains(attempt.id)) {
+      fail("request " + attempt.id + " was answered with not-run although it ran");
     }
-    if (!answer.has_retry_after) {
-      fail("refusal of " + answer.id + " has no Retry-After: " + answer.body);
+    if (!attempt.has_retry_after) {
+      fail("refusal of " + attempt.id + " has no Retry-After: " + attempt.body);
     }
     report_.counts.slowest_refusal_ms =
         std::max<uint64_t>(report_.counts.slowest_refusal_ms,
-                           static_cast<uint64_t>(std::max<int64_t>(answer.duration_ms, 0)));
-    if (answer.duration_ms > kMaxRefusalMs) {
-      fail("refusal of " + answer.id + " took " + std::to_string(answer.duration_ms) + " ms");
+                           static_cast<uint64_t>(std::max<int64_t>(attempt.duration_ms, 0)));
+    if (attempt.duration_ms > kMaxRefusalMs) {
+      fail("refusal of " + attempt.id + " took " + std::to_string(attempt.duration_ms) + " ms");
     }
   }
 
@@ -112,12 +114,12 @@
         fail("key " + key + " ran " + std::to_string(count) + " times");
       }
     }
-    for (const auto& [key, bodies] : answers_by_key_) {
+    for (const auto& [key, bodies] : responses_by_key_) {
       if (bodies.size() > 1) {
         fail("key " + key + " was answered in " + std::to_string(bodies.size()) + " ways");
       }
       if (runs_.by_key[key] != 1) {
-        fail("key " + key + " was answered and its run is not recorded");
+        fail("key " + key + " was answered but does not have exactly one recorded run");
       }
     }
   }
@@ -125,16 +127,18 @@
   void checkChatTurn(const ChatTurn& chat_turn) {
     ++report_.counts.chat_turns;
     if (chat_turn.misplaced_events != 0) {
-      fail("chat " + chat_turn.id + " got events twice, out of order or of another request");
+      fail("chat " + chat_turn.id +
+           " received duplicate or reordered events, or events of another request");
     }
     if (chat_turn.complete && chat_turn.text != chat_turn.expected_text) {
-      fail("chat " + chat_turn.id + " got another text than its own");
+      fail("chat " + chat_turn.id + " received another text than the expected one");
     }
     if (!chat_turn.complete) {
-      fail("chat " + chat_turn.id + " never got its whole answer");
+      fail("chat " + chat_turn.id + " did not receive a complete response");
     }
   }
 
+  /// @return milliseconds since the epoch of a log timestamp, or zero if it is malformed.
   static int64_t parseTimestampMs(const std::string& timestamp) {
     std::tm parts{};
     const char* rest = ::strptime(timestamp.c_str(), "%Y-%m-%dT%H:%M:%S", &parts);
@@ -159,12 +163,12 @@
       }
       const std::string name = event.value("event", "");
       if (name == "started") {
-        // A process that starts has nothing in force.
+        // A restarted process has no active revision.
         active_revision = 0;
       } else if (name == "configuration_in_force") {
         const uint64_t revision = event.value("revision", uint64_t{0});
         if (revision < active_revision) {
-          fail(path + ": revision went back from " + std::to_string(active_revision));
+          fail(path + ": active revision decreased from " + std::to_string(active_revision));
         }
         active_revision = revision;
       } else if (name == "routing_decision") {
@@ -190,7 +194,7 @@
   const InvariantInputs& inputs_;
   InvariantReport report_;
   RecordedRuns runs_;
-  std::map<std::string, std::set<std::string>> answers_by_key_;
+  std::map<std::string, std::set<std::string>> responses_by_key_;
 };
 
 } // namespace
--- a/src/scenario/load_cap_sampler.cc
+++ b/src/scenario/load_cap_sampler.cc
@@ -16,9 +16,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds kSamplePeriod{100};
-/// With fewer streams than this for each engine, rounding decides the ratio; it is not recorded.
+/// With a lower mean number of streams per engine, rounding dominates the ratio, so it is not
+/// recorded.
 constexpr double kMinMeanForRatio = 2;
 
+/// Number of samples in about one second.
 constexpr size_t kRecentSamples = 10;
 
 uint64_t capOf(double factor, double mean) {
--- a/src/scenario/load_generator.cc
+++ b/src/scenario/load_generator.cc
@@ -23,12 +23,14 @@
 namespace {
 
 constexpr std::chrono::milliseconds kConnectTimeout{500};
-/// A caller that hears nothing for so long goes to another address.
+/// A caller that receives nothing for this time tries another address.
 constexpr std::chrono::milliseconds kReadTimeout{6000};
 constexpr int64_t kPauseAfterLossMs = 50;
-/// Callers in tests come back a little sooner than they are told, to send more.
+/// Upper limit for the pause before a retry. It may be shorter than the server's Retry-After, so
+/// that a scenario sends more requests.
 constexpr int64_t kMaxPauseMs = 300;
 constexpr size_t kMaxBodyBytes = 1U << 20U;
+/// System message of all chat sessions: a prompt prefix that they share.
 const std::string kSharedPromptPrefix(1600, 'r');
 
 int64_t nowMs() { return SystemClock().monotonicMs(); }
@@ -41,6 +43,7 @@
   return options;
 }
 
+/// @return the number after the colon of an event id; zero for an empty id.
 uint64_t eventNumber(const std::string& id) {
   const size_t colon = id.rfind(':');
   uint64_t number = 0;
@@ -71,11 +74,11 @@
   return attempts_.size();
 }
 
-size_t LoadGenerator::countOf(AttemptOutcome kind) const {
+size_t LoadGenerator::countOf(AttemptOutcome outcome) const {
   const std::lock_guard lock(mutex_);
   size_t count = 0;
-  for (const AttemptResult& answer : attempts_) {
-    count += answer.kind == kind ? 1 : 0;
+  for (const AttemptResult& result : attempts_) {
+    count += result.outcome == outcome ? 1 : 0;
   }
   return count;
 }
@@ -90,11 +93,11 @@
   return chat_turns_;
 }
 
-void LoadGenerator::record(AttemptResult answer) {
-  answer.tenant = plan_.tenant;
-  answer.ended_at_ms = SystemClock().wallMs();
+void LoadGenerator::record(AttemptResult result) {
+  result.tenant = plan_.tenant;
+  result.ended_at_ms = SystemClock().wallMs();
   const std::lock_guard lock(mutex_);
-  attempts_.push_back(std::move(answer));
+  attempts_.push_back(std::move(result));
 }
 
 std::string LoadGenerator::describe(const http::CallError& error) {
@@ -133,22 +136,22 @@
   }
 }
 
-void LoadGenerator::classify(AttemptResult& answer, http::ClientResponse& response) {
-  answer.status = static_cast<unsigned>(response.status());
-  answer.has_retry_after = response.header("Retry-After").has_value();
+void LoadGenerator::classify(AttemptResult& result, http::ClientResponse& response) {
+  result.status = static_cast<unsigned>(response.status());
+  result.has_retry_after = response.header("Retry-After").has_value();
   const std::string execution = response.header("X-Execution").value_or("completed");
   if (execution == "not-run") {
-    answer.kind = answer.status >= 500 || answer.status == 429 ? AttemptOutcome::NotRun
-                                                               : AttemptOutcome::Rejected;
+    result.outcome = result.status >= 500 || result.status == 429 ? AttemptOutcome::NotRun
+                                                                  : AttemptOutcome::Rejected;
   } else {
-    answer.kind = execution == "unknown" ? AttemptOutcome::Unknown : AttemptOutcome::Completed;
+    result.outcome = execution == "unknown" ? AttemptOutcome::Unknown : AttemptOutcome::Completed;
   }
 }
 
 asio::awaitable<std::string> LoadGenerator::chooseAddress(const std::string& service,
                                                           const std::string& session,
                                                           uint32_t attempt) {
-  // Any router answers which addresses to use; a caller that failed goes on to the next.
+  // Any router can resolve the address. If one does not respond, the next is chosen at random.
   std::string router;
   for (size_t query = 0; query < 2 * routers_.size(); ++query) {
     router = routers_[random_.below(routers_.size())];
@@ -156,12 +159,12 @@
         http::Verb::get,
         "/v1/endpoints?service=" + service + "&session=" + session + "&tenant=" + plan_.tenant, 11);
     const http::CallOptions options = callOptions(plan_);
-    http::CallResult result = co_await client_.call(router, std::move(request), options);
-    auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
-    if (answer == nullptr) {
+    http::CallResult call_result = co_await client_.call(router, std::move(request), options);
+    auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&call_result);
+    if (response == nullptr) {
       continue;
     }
-    auto body = co_await (*answer)->readAll(kMaxBodyBytes);
+    auto body = co_await (*response)->readAll(kMaxBodyBytes);
     if (const auto* text = std::get_if<std::string>(&body)) {
       const json list = json::parse(*text, nullptr, false).value("endpoints", json::array());
       if (!list.empty()) {
@@ -172,10 +175,10 @@
   co_return router;
 }
 
-asio::awaitable<void> LoadGenerator::pauseAfter(const AttemptResult& answer) {
+asio::awaitable<void> LoadGenerator::pauseAfter(const AttemptResult& result) {
   int64_t pause = kPauseAfterLossMs;
-  if (answer.kind == AttemptOutcome::NotRun || answer.kind == AttemptOutcome::Unknown) {
-    const json body = json::parse(answer.body, nullptr, false);
+  if (result.outcome == AttemptOutcome::NotRun || result.outcome == AttemptOutcome::Unknown) {
+    const json body = json::parse(result.body, nullptr, false);
     pause = body.is_object() ? body.value("retry_after_ms", kMaxPauseMs) : kMaxPauseMs;
   }
   co_await pauseFor(std::min(pause, kMaxPauseMs));
@@ -183,29 +186,29 @@
 
 asio::awaitable<AttemptResult> LoadGenerator::attemptPlain(http::Request request, std::string key,
                                                            std::string address, std::string id) {
-  AttemptResult answer;
-  answer.id = std::move(id);
-  answer.key = std::move(key);
-  answer.address = address;
-  request.set("X-Request-Id", answer.id);
+  AttemptResult result;
+  result.id = std::move(id);
+  result.key = std::move(key);
+  result.address = address;
+  request.set("X-Request-Id", result.id);
   request.set("X-Tenant", plan_.tenant);
   const int64_t started = nowMs();
   const http::CallOptions options = callOptions(plan_);
-  http::CallResult result = co_await client_.call(address, std::move(request), options);
-  if (auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
+  http::CallResult call_result = co_await client_.call(address, std::move(request), options);
+  if (auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&call_result)) {
     auto body = co_await (*response)->readAll(kMaxBodyBytes);
     if (auto* text = std::get_if<std::string>(&body)) {
-      answer.body = std::move(*text);
-      classify(answer, **response);
+      result.body = std::move(*text);
+      classify(result, **response);
     } else {
-      answer.loss_reason = describe(std::get<http::CallError>(body));
+      result.loss_reason = describe(std::get<http::CallError>(body));
     }
   } else {
-    answer.loss_reason = describe(std::get<http::CallError>(result));
+    result.loss_reason = describe(std::get<http::CallError>(call_result));
   }
-  answer.duration_ms = nowMs() - started;
-  record(answer);
-  co_return answer;
+  result.duration_ms = nowMs() - started;
+  record(result);
+  co_return result;
 }
 
 asio::awaitable<void> LoadGenerator::runConfirmation(std::string key) {
@@ -217,13 +220,13 @@
     if (plan_.resolve) {
       address = co_await chooseAddress("booking", key, attempt);
     }
-    const AttemptResult answer = co_await attemptPlain(std::move(request), key, address, newId());
-    const bool final_unknown = answer.kind == AttemptOutcome::Unknown && !answer.has_retry_after;
-    if (answer.kind == AttemptOutcome::Completed || answer.kind == AttemptOutcome::Rejected ||
+    const AttemptResult result = co_await attemptPlain(std::move(request), key, address, newId());
+    const bool final_unknown = result.outcome == AttemptOutcome::Unknown && !result.has_retry_after;
+    if (result.outcome == AttemptOutcome::Completed || result.outcome == AttemptOutcome::Rejected ||
         final_unknown) {
       co_return;
     }
-    co_await pauseAfter(answer);
+    co_await pauseAfter(result);
   }
 }
 
@@ -231,11 +234,11 @@
   for (uint32_t attempt = 0; attempt < plan_.max_attempts; ++attempt) {
     http::Request request(http::Verb::get, "/v1/services/booking/lookups/" + id, 11);
     const std::string address = co_await chooseAddress("booking", "", attempt);
-    const AttemptResult answer = co_await attemptPlain(std::move(request), "", address, newId());
-    if (answer.kind == AttemptOutcome::Completed || answer.kind == AttemptOutcome::Rejected) {
+    const AttemptResult result = co_await attemptPlain(std::move(request), "", address, newId());
+    if (result.outcome == AttemptOutcome::Completed || result.outcome == AttemptOutcome::Rejected) {
       co_return;
     }
-    co_await pauseAfter(answer);
+    co_await pauseAfter(result);
   }
 }
 
@@ -263,34 +266,34 @@
   std::string id = newId();
   for (uint32_t attempt = 0; attempt < plan_.max_attempts && !chat_turn.complete; ++attempt) {
     const std::string address = co_await chooseAddress("assistant", session, attempt);
-    const AttemptResult answer =
+    const AttemptResult result =
         co_await attemptChat(session, text, chat_turn, last_event, address, id);
-    if (answer.kind == AttemptOutcome::Rejected) {
+    if (result.outcome == AttemptOutcome::Rejected) {
       break;
     }
     if (!chat_turn.complete) {
-      co_await pauseAfter(answer);
-      // A resumed stream keeps its request's id; a new try has its own.
+      co_await pauseAfter(result);
+      // A resumed stream keeps its request id; a new request has a new one.
       id = last_event.empty() ? newId() : id;
     }
   }
   chat_turn.id = id;
-  const std::string answer_text = chat_turn.text;
+  const std::string response_text = chat_turn.text;
   {
     const std::lock_guard lock(mutex_);
     chat_turns_.push_back(std::move(chat_turn));
   }
-  co_return answer_text;
+  co_return response_text;
 }
 
 asio::awaitable<AttemptResult>
 LoadGenerator::attemptChat(const std::string& session, const std::string& body, ChatTurn& chat_turn,
                            std::string& last_event, std::string address, std::string id) {
-  AttemptResult answer;
-  answer.id = std::move(id);
+  AttemptResult result;
+  result.id = std::move(id);
   http::Request request(http::Verb::post, "/v1/chat/completions", 11);
-  answer.address = address;
-  request.set("X-Request-Id", answer.id);
+  result.address = address;
+  request.set("X-Request-Id", result.id);
   request.set("X-Tenant", plan_.tenant);
   request.set("X-Session-Id", session);
   if (!last_event.empty()) {
@@ -299,48 +302,48 @@
   request.body() = body;
   const int64_t started = nowMs();
   const http::CallOptions options = callOptions(plan_);
-  http::CallResult result = co_await client_.call(address, std::move(request), options);
-  auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
+  http::CallResult call_result = co_await client_.call(address, std::move(request), options);
+  auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&call_result);
   if (response == nullptr) {
-    answer.loss_reason = describe(std::get<http::CallError>(result));
-    answer.duration_ms = nowMs() - started;
-    record(answer);
-    co_return answer;
+    result.loss_reason = describe(std::get<http::CallError>(call_result));
+    result.duration_ms = nowMs() - started;
+    record(result);
+    co_return result;
   }
   if ((*response)->status() != http::Status::ok) {
     auto text = co_await (*response)->readAll(kMaxBodyBytes);
     if (auto* problem = std::get_if<std::string>(&text)) {
-      answer.body = std::move(*problem);
-      classify(answer, **response);
+      result.body = std::move(*problem);
+      classify(result, **response);
     }
-    answer.duration_ms = nowMs() - started;
-    record(answer);
-    co_return answer;
+    result.duration_ms = nowMs() - started;
+    record(result);
+    co_return result;
   }
   http::EventStreamParser parser;
   while (!chat_turn.complete) {
     auto part = co_await (*response)->read();
     const auto* bytes = std::get_if<std::string>(&part);
     if (bytes == nullptr || bytes->empty()) {
-      answer.loss_reason = bytes == nullptr ? describe(std::get<http::CallError>(part))
+      result.loss_reason = bytes == nullptr ? describe(std::get<http::CallError>(part))
                                             : "the stream ended after event " + last_event;
       break;
     }
     parser.feed(*bytes);
     while (const auto event = parser.next()) {
-      if (answer.first_event_ms == 0) {
-        answer.first_event_ms = nowMs() - started;
+      if (result.first_event_ms == 0) {
+        result.first_event_ms = nowMs() - started;
       }
       const uint64_t expected = eventNumber(last_event) + 1;
       chat_turn.misplaced_events += eventNumber(event->id) != expected ? 1 : 0;
       last_event = event->id;
       if (event->data == http::kDoneData) {
         chat_turn.complete = true;
-        answer.kind = AttemptOutcome::Completed;
+        result.outcome = AttemptOutcome::Completed;
         break;
       }
       const json data = json::parse(event->data, nullptr, false);
-      if (!data.is_object() || data.value("id", "") != answer.id) {
+      if (!data.is_object() || data.value("id", "") != result.id) {
         ++chat_turn.misplaced_events;
         continue;
       }
@@ -353,9 +356,9 @@
       }
     }
   }
-  answer.duration_ms = nowMs() - started;
-  record(answer);
-  co_return answer;
+  result.duration_ms = nowMs() - started;
+  record(result);
+  co_return result;
 }
 
 } // namespace workshatch::scenario
--- a/src/scenario/log_copier.h
+++ b/src/scenario/log_copier.h
@@ -1,5 +1,5 @@
 /// @file
-/// Copies what a process writes on a pipe into its log file.
+/// Copies the output of a process from a pipe to its log file.
 #pragma once
 
 #include <string>
@@ -7,14 +7,15 @@
 
 namespace workshatch::scenario {
 
-/// The process itself writes to no log file, so that a limit on the size of its files, which stands
-/// for a disk that refuses writes, does not meet its log. One thread, which ends with the pipe.
+/// Copies in its own thread until the pipe is closed. The process does not write the log file
+/// itself because scenarios limit its file size to simulate a full disk, which must not affect the
+/// log.
 class LogCopier {
 public:
-  /// @param pipe its reading end; owned from now on.
-  /// @param path file that is appended to.
+  /// @param pipe descriptor of the pipe's read end; this object takes ownership
+  /// @param path file to append to
   LogCopier(int pipe, const std::string& path);
-  /// Waits for the end of the pipe: all its writers have ended.
+  /// Blocks until all writers have closed the pipe.
   ~LogCopier();
   LogCopier(const LogCopier&) = delete;
   LogCopier& operator=(const LogCopier&) = delete;
--- a/src/scenario/main.cc
+++ b/src/scenario/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// workshatch-scenario: runs scenario files against real processes.
+/// workshatch-scenario: runs scenario files, or random scenarios, against real processes.
 #include <chrono>
 #include <cstdio>
 #include <filesystem>
@@ -46,7 +46,7 @@
   return scenario::parseScript(path, content.str());
 }
 
-/// Writes the scenario of a seed to a file that replays it.
+/// Generates the random scenario of a seed and writes it to a file, which can be replayed.
 Result<scenario::Script> drawScript(uint64_t seed) {
   const std::string text = scenario::soakScript(
       scenario::SoakPlan{.seed = seed, .steps = FLAGS_steps, .network = FLAGS_network});
--- a/src/scenario/network_proxy.cc
+++ b/src/scenario/network_proxy.cc
@@ -24,7 +24,7 @@
 constexpr size_t kBufferBytes = size_t{16} * 1024;
 constexpr std::chrono::milliseconds kCutPollInterval{5};
 
-/// Copies one direction of a connection; holds what it read while the direction is cut.
+/// Copies one direction of a connection. While the direction is cut, received data is held back.
 asio::awaitable<void> copy(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to,
                            std::shared_ptr<LinkCuts> cuts, bool forward) {
   std::string buffer(kBufferBytes, '\0');
--- a/src/scenario/network_proxy.h
+++ b/src/scenario/network_proxy.h
@@ -1,5 +1,6 @@
 /// @file
-/// Relays between two processes that can be cut, silently and in each direction by itself.
+/// TCP and UDP proxies between two processes that simulate network partitions: each direction can
+/// be cut without closing connections.
 #pragma once
 
 #include <atomic>
@@ -15,17 +16,19 @@
 
 namespace workshatch::scenario {
 
-/// Directions that are cut. Safe for concurrent use.
+/// Directions of a link that are cut. Safe for concurrent use.
 struct LinkCuts {
   std::atomic<bool> forward{false};
   std::atomic<bool> backward{false};
 };
 
-/// Passes TCP connections on. What is sent during a cut waits, as in the network's buffers.
+/// Forwards TCP connections. Data sent during a cut is delivered after it, as TCP retransmission
+/// does.
 class TcpProxy {
 public:
   TcpProxy(boost::asio::io_context& context, std::string target);
 
+  /// Starts to accept connections.
   Result<std::monostate> listen(const std::string& address);
   LinkCuts& cuts() { return *cuts_; }
 
@@ -38,12 +41,13 @@
   std::shared_ptr<LinkCuts> cuts_ = std::make_shared<LinkCuts>();
 };
 
-/// Passes datagrams on, forward only: each router sends to the other's own address. What is sent
-/// during a cut is lost.
+/// Forwards datagrams to the target. It needs no backward direction, because each router sends
+/// through its own proxy. Datagrams sent during a cut are lost.
 class UdpProxy {
 public:
   UdpProxy(boost::asio::io_context& context, std::string target);
 
+  /// Starts to receive datagrams.
   Result<std::monostate> listen(const std::string& address);
   LinkCuts& cuts() { return cuts_; }
 
--- a/src/scenario/operator_load.cc
+++ b/src/scenario/operator_load.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// Far above what an answer takes; a call that lasts as long was left waiting.
+/// Far above the duration of a successful call, so that a call which reaches it got no response.
 constexpr int64_t kCallDeadlineMs = 3000;
-/// Twenty-four operators make some 750 calls a second beside other work.
+/// With this interval, 24 operators make about 750 calls per second beside the other load.
 constexpr std::chrono::milliseconds kCallInterval{20};
 
 int64_t nowMs() { return SystemClock().monotonicMs(); }
--- a/src/scenario/operator_load.h
+++ b/src/scenario/operator_load.h
@@ -1,5 +1,5 @@
 /// @file
-/// Operators that call all control replicas all the time, also those that end.
+/// Load generator of operator calls to all control replicas, including stopping ones.
 #pragma once
 
 #include <atomic>
@@ -10,18 +10,19 @@
 
 namespace workshatch::scenario {
 
-/// How the calls of the operators ended.
+/// Numbers of operator calls by outcome.
 struct OperatorCallCounts {
   uint64_t answered = 0;
-  /// Told at once that another replica has to be asked, or nobody listened.
+  /// The replica reported that it is not the leader, or the call failed before its deadline.
   uint64_t refused = 0;
-  /// Nobody said anything until the call's own deadline.
+  /// No response arrived before the deadline of the call.
   uint64_t timed_out_calls = 0;
-  /// Longest time without an answer from any replica, in milliseconds.
+  /// Longest time between two successful calls, over all replicas and operators.
   int64_t longest_gap_ms = 0;
 };
 
-/// Calls go on until the end of this object, at each replica in turn, whether it leads or not.
+/// Calls each replica in turn, whether or not it is the leader, until this object is destroyed.
+/// Each operator has its own thread.
 class OperatorLoad {
 public:
   OperatorLoad(std::vector<std::string> addresses, std::string token, uint32_t operators);
--- a/src/scenario/process.cc
+++ b/src/scenario/process.cc
@@ -20,21 +20,22 @@
 namespace {
 
 constexpr int kExecFailedExitCode = 127;
-/// Exit code of a process that a signal ended, as shells count it.
+/// Added to the signal number for the exit code of a process ended by a signal, as shells do.
 constexpr int kSignalExitCodeBase = 128;
 
-/// Runs in the child: nothing but system calls.
+/// Runs in the child between fork and exec, where only async-signal-safe functions are allowed.
 [[noreturn]] void runChild(const std::vector<char*>& arguments, int log) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   sigset_t none;
   sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
-  // A write beyond the limit fails then, as on a full disk, and does not end the process.
+  // With SIGXFSZ ignored, a write beyond the file size limit fails, as on a full disk, instead of
+  // ending the process.
   ::signal(SIGXFSZ, SIG_IGN);
   ::dup2(log, STDERR_FILENO);
   ::dup2(log, STDOUT_FILENO);
-  // The driver's own connections, which its callers made without close-on-exec: held here too, they
-  // would stay open after the driver has closed them.
+  // Close the driver's connections, which are opened without close-on-exec. If the child inherited
+  // them, they would stay open after the driver has closed them.
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
   ::execv(arguments.front(), arguments.data());
   ::_exit(kExecFailedExitCode);
@@ -49,7 +50,7 @@
 
 Result<std::monostate> Process::start() {
   if (running()) {
-    return Error{"is running already"};
+    return Error{"is already running"};
   }
   std::vector<char*> arguments;
   for (const std::string& word : command_) {
@@ -80,7 +81,7 @@
   }
   exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : kSignalExitCodeBase + WTERMSIG(status);
   pid_ = 0;
-  // The log is whole from here on.
+  // Waits until the log is complete.
   log_.reset();
 }
 
@@ -113,7 +114,7 @@
 Result<std::monostate> Process::limitFileSize(uint64_t bytes) {
   const rlimit limit{.rlim_cur = bytes, .rlim_max = RLIM_INFINITY};
   if (!running() || ::prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr) != 0) {
-    return Error{std::string("cannot limit its files: ") + std::strerror(errno)};
+    return Error{std::string("cannot set its file size limit: ") + std::strerror(errno)};
   }
   return std::monostate{};
 }
--- a/src/scenario/process.h
+++ b/src/scenario/process.h
@@ -1,5 +1,5 @@
 /// @file
-/// Processes that a scenario starts, kills, freezes and stops.
+/// A child process that a scenario starts, kills, freezes and stops.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,20 @@
 
 namespace workshatch::scenario {
 
-/// What a process takes of the machine.
+/// Resource usage of a process.
 struct ResourceUsage {
+  /// Resident memory.
   uint64_t memory_kb = 0;
+  /// Open file descriptors.
   uint64_t descriptors = 0;
 };
 
-/// One process at a time under a name; it ends with the driver.
+/// Runs at most one process at a time. The process is killed when this object is destroyed or the
+/// driver ends.
 class Process {
 public:
-  /// @param log_path standard output and error are appended there.
+  /// @param command path of the executable, then its arguments
+  /// @param log_path file to which standard output and standard error are appended
   Process(std::vector<std::string> command, std::string log_path);
   ~Process();
   Process(const Process&) = delete;
@@ -35,25 +39,27 @@
   void kill();
   void freeze();
   void thaw();
-  /// Lets no file of the process grow beyond `bytes`, like a disk that is full.
+  /// Limits the size of the files that the process writes, to simulate a full disk.
   Result<std::monostate> limitFileSize(uint64_t bytes);
   Result<std::monostate> unlimitFileSize();
-  /// Asks for a planned stop; `waitStopped` sees its end.
+  /// Requests a graceful stop (SIGTERM) and returns without waiting for it.
   void requestStop();
-  /// @return nothing when it does not run, or its figures can't be read.
+  /// @return the current usage, or nothing if the process is not running or cannot be inspected.
   std::optional<ResourceUsage> resourceUsage();
-  /// @return whether the process has ended; its exit code is then known.
+  /// @return whether the process has exited; `exitCode` is then valid.
   bool hasExited();
   int exitCode() const { return exit_code_; }
 
 private:
+  /// Collects the exit status if the process has exited; with `wait`, blocks until it has.
   void reap(bool wait);
 
   const std::vector<std::string> command_;
   const std::string log_path_;
+  /// Zero if no process is running.
   pid_t pid_ = 0;
   int exit_code_ = 0;
-  /// Ends after the process.
+  /// Runs until the process has exited.
   std::unique_ptr<LogCopier> log_;
 };
 
--- a/src/scenario/scenario_expect.cc
+++ b/src/scenario/scenario_expect.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Commands of scenarios that measure and expect.
+/// Scenario commands that measure (`watch-...`) and check expectations (`expect`).
 #include <algorithm>
 #include <chrono>
 #include <filesystem>
@@ -14,24 +14,24 @@
 
 ScenarioRun::Outcome ScenarioRun::expectCount(const Command& command, uint64_t counted) {
   const uint64_t min_count = numberOption(command, "min", 0);
-  const uint64_t most = numberOption(command, "max", UINT32_MAX);
-  if (counted < min_count || counted > most) {
+  const uint64_t max_count = numberOption(command, "max", UINT32_MAX);
+  if (counted < min_count || counted > max_count) {
     return Error{"counted " + std::to_string(counted) + ", expected " + std::to_string(min_count) +
-                 " to " + std::to_string(most)};
+                 " to " + std::to_string(max_count)};
   }
   return kDone;
 }
 
-/// The first lost answers of a load, a line each.
+/// Describes the first lost responses of a load, one per line.
 std::string ScenarioRun::describeLosses(const LoadGenerator& load) {
   constexpr size_t kMaxLines = 40;
   std::string text;
   size_t lines = 0;
-  for (const AttemptResult& answer : load.attempts()) {
-    if (answer.kind == AttemptOutcome::Lost && lines++ < kMaxLines) {
-      text += "\n    lost " + answer.id + " at " + answer.address + ", ended " +
-              std::to_string(answer.ended_at_ms) + " ms, after " +
-              std::to_string(answer.duration_ms) + " ms: " + answer.loss_reason;
+  for (const AttemptResult& attempt : load.attempts()) {
+    if (attempt.outcome == AttemptOutcome::Lost && lines++ < kMaxLines) {
+      text += "\n    lost " + attempt.id + " at " + attempt.address + ", ended " +
+              std::to_string(attempt.ended_at_ms) + " ms, after " +
+              std::to_string(attempt.duration_ms) + " ms: " + attempt.loss_reason;
     }
   }
   return text;
@@ -58,19 +58,20 @@
   return kDone;
 }
 
-/// Wants no daemon to have grown much since `watch-resourceUsage`.
+/// Fails if the memory or the open descriptors of a daemon have grown beyond a limit since
+/// `watch-footprint`.
 ScenarioRun::Outcome ScenarioRun::expectFootprint() {
   constexpr uint64_t kMaxGrowthFactor = 2;
   constexpr uint64_t kMemorySlackKb = uint64_t{32} * 1024;
   constexpr uint64_t kDescriptorSlack = 64;
   if (initial_usage_.empty()) {
-    return Error{"expected watch-footprint before"};
+    return Error{"watch-footprint must come first"};
   }
-  ResourceUsage most;
+  ResourceUsage peak;
   for (const auto& [name, before] : initial_usage_) {
     const auto now = fleet_->find(name)->resourceUsage();
     if (!now) {
-      return Error{name + " does not run, or its figures can't be read"};
+      return Error{name + " is not running or its resource usage cannot be read"};
     }
     if (now->memory_kb > kMaxGrowthFactor * before.memory_kb + kMemorySlackKb) {
       return Error{name + " grew from " + std::to_string(before.memory_kb) + " to " +
@@ -80,17 +81,17 @@
       return Error{name + " grew from " + std::to_string(before.descriptors) + " to " +
                    std::to_string(now->descriptors) + " descriptors"};
     }
-    most.memory_kb = std::max(most.memory_kb, now->memory_kb);
-    most.descriptors = std::max(most.descriptors, now->descriptors);
+    peak.memory_kb = std::max(peak.memory_kb, now->memory_kb);
+    peak.descriptors = std::max(peak.descriptors, now->descriptors);
   }
-  measurements_ += "; most memory " + std::to_string(most.memory_kb) + " kB, most descriptors " +
-                   std::to_string(most.descriptors);
+  measurements_ += "; most memory " + std::to_string(peak.memory_kb) + " kB, most descriptors " +
+                   std::to_string(peak.descriptors);
   return kDone;
 }
 
 ScenarioRun::Outcome ScenarioRun::expectCap(const Command& command) {
   if (!cap_sampler_) {
-    return Error{"expected watch-cap before"};
+    return Error{"watch-cap must come first"};
   }
   const CapReport report = cap_sampler_->report();
   measurements_ +=
@@ -107,16 +108,16 @@
   return kDone;
 }
 
-/// `expect slower A B factor=F`: the time to the first event of load A, for 95 in 100, is at most F
-/// times that of B.
+/// `expect slower A B factor=F`: the 95th percentile of the time to the first event of load A must
+/// be at most F times that of load B.
 ScenarioRun::Outcome ScenarioRun::expectSlower(const Command& command) {
   const auto p95 = [this](const std::string& name) -> int64_t {
     std::vector<int64_t> times;
     const LoadGenerator* load = findLoad(name);
-    for (const AttemptResult& answer :
+    for (const AttemptResult& attempt :
          load == nullptr ? std::vector<AttemptResult>() : load->attempts()) {
-      if (answer.kind == AttemptOutcome::Completed) {
-        times.push_back(answer.first_event_ms);
+      if (attempt.outcome == AttemptOutcome::Completed) {
+        times.push_back(attempt.first_event_ms);
       }
     }
     std::sort(times.begin(), times.end());
@@ -127,7 +128,7 @@
   measurements_ += "; first event p95: " + command.arguments[1] + " " + std::to_string(first) +
                    " ms, " + command.arguments[2] + " " + std::to_string(second) + " ms";
   if (second == 0 || first == 0) {
-    return Error{"a load has no answers"};
+    return Error{"a load has no completed requests"};
   }
   const double factor = std::stod(textOption(command, "factor", "2"));
   if (static_cast<double>(first) > factor * static_cast<double>(second)) {
@@ -136,8 +137,9 @@
   return kDone;
 }
 
-/// Waits for the time that a runner's leaving may take to be seen, then for answers of a load, and
-/// compares the runner's count of runs.
+/// `expect no-new-runs RUNNER`: waits `after_ms`, within which routers must notice that the runner
+/// is leaving, then for further attempts of a load, and fails if the runner has started a run
+/// meanwhile.
 ScenarioRun::Outcome ScenarioRun::expectNoNewRuns(const Command& command) {
   const std::string path = options_.folder + "/" +
                            std::filesystem::path(script_.path).stem().string() + "/runs/" +
@@ -163,7 +165,7 @@
   return kDone;
 }
 
-/// Operators' calls without the right token are refused, also by the leader.
+/// `expect wrong-token`: operator calls with a wrong token must be refused, by the leader too.
 ScenarioRun::Outcome ScenarioRun::expectWrongToken() {
   rpc::OperatorClient unauthorized_client(fleet_->controlAddresses(), "not-the-operators-token",
                                           kStatusTimeoutMs);
@@ -182,7 +184,8 @@
         return kDone;
       }
     }
-    return Error{"no line of " + command.arguments[1] + " has \"" + command.arguments[2] + "\""};
+    return Error{"no log line of " + command.arguments[1] + " contains \"" + command.arguments[2] +
+                 "\""};
   }
   if (what == "wrong-token") {
     return expectWrongToken();
--- a/src/scenario/scenario_operators.cc
+++ b/src/scenario/scenario_operators.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Commands of scenarios that act as operators.
+/// Scenario commands that make operator calls.
 #include <algorithm>
 #include <fstream>
 #include <thread>
@@ -32,7 +32,7 @@
   return kDone;
 }
 
-/// Applies `count` changes, one after the other, each against the revision then in force.
+/// Applies `count` changes in sequence, each based on the current revision.
 ScenarioRun::Outcome ScenarioRun::runApply(const Command& command) {
   const std::string expected = textOption(command, "expect", "accepted");
   const uint32_t count = numberOption(command, "count", 1);
@@ -52,17 +52,18 @@
   return kDone;
 }
 
-/// Operators call all control replicas all the time until the scenario ends.
+/// Starts operator calls to all control replicas, which go on until the scenario ends.
 ScenarioRun::Outcome ScenarioRun::runPress(const Command& command) {
   operator_load_ = std::make_unique<OperatorLoad>(fleet_->controlAddresses(), Fleet::kOperatorToken,
                                                   numberOption(command, "operators", 24));
   return kDone;
 }
 
-/// Wants every call of the pressing operators answered or turned away, none left to its deadline.
+/// `expect all-told`: every call made by `press` must get a response or fail before its
+/// deadline.
 ScenarioRun::Outcome ScenarioRun::expectNoCallTimedOut() {
   if (!operator_load_) {
-    return Error{"expected press before"};
+    return Error{"press must come first"};
   }
   const OperatorCallCounts counts = operator_load_->counts();
   measurements_ += ", operators: " + std::to_string(counts.answered) + " answered, " +
@@ -70,14 +71,15 @@
                    std::to_string(counts.longest_gap_ms) + " ms";
   if (counts.timed_out_calls > 0 || counts.answered == 0) {
     return Error{std::to_string(counts.timed_out_calls) +
-                 " calls of operators were left waiting, " + std::to_string(counts.answered) +
+                 " operator calls reached their deadline, " + std::to_string(counts.answered) +
                  " answered"};
   }
   return kDone;
 }
 
-/// Operators apply different changes with equal expected revisions at once, each sends its change
-/// again after the first answer, and again after the leader was killed with `kill=leader`.
+/// Operators apply different changes concurrently, all based on the same revision: exactly one must
+/// be accepted, the others must conflict. Each operator then sends its change again, with
+/// `kill=leader` after the leader was killed, and must get the same reply as before.
 ScenarioRun::Outcome ScenarioRun::runRace(const Command& command) {
   const uint32_t operators = numberOption(command, "operators", 4);
   const auto current = operatorClient(kOperatorTimeoutMs)->get();
@@ -113,16 +115,17 @@
   if (isError(first)) {
     return errorOf(first);
   }
-  const auto& answers = std::get<std::vector<v1::ApplyReply>>(first);
-  const auto winners = std::count_if(answers.begin(), answers.end(), [](const auto& answer) {
-    return answer.state() == v1::APPLY_ACCEPTED;
-  });
-  const auto losers = std::count_if(answers.begin(), answers.end(), [](const auto& answer) {
-    return answer.state() == v1::APPLY_CONFLICT;
-  });
+  const auto& first_replies = std::get<std::vector<v1::ApplyReply>>(first);
+  const auto winners =
+      std::count_if(first_replies.begin(), first_replies.end(),
+                    [](const auto& answer) { return answer.state() == v1::APPLY_ACCEPTED; });
+  const auto losers =
+      std::count_if(first_replies.begin(), first_replies.end(),
+                    [](const auto& answer) { return answer.state() == v1::APPLY_CONFLICT; });
   if (winners != 1 || losers + 1 != static_cast<int64_t>(operators)) {
-    return Error{"expected one winner and conflicts for the others, got " +
-                 std::to_string(winners) + " winners and " + std::to_string(losers) + " conflicts"};
+    return Error{"expected one accepted change and conflicts for the others, got " +
+                 std::to_string(winners) + " accepted and " + std::to_string(losers) +
+                 " conflicts"};
   }
   if (textOption(command, "kill", "") == "leader") {
     Command kill{.line = command.line, .name = "kill", .arguments = {"leader"}, .options = {}};
@@ -136,12 +139,12 @@
   }
   const auto& resent = std::get<std::vector<v1::ApplyReply>>(second);
   for (uint32_t i = 0; i < operators; ++i) {
-    const bool same =
-        resent[i].state() == answers[i].state() && resent[i].revision() == answers[i].revision();
+    const bool same = resent[i].state() == first_replies[i].state() &&
+                      resent[i].revision() == first_replies[i].revision();
     if (!same) {
-      return Error{
-          "a resend got another answer than the first: " + v1::ApplyState_Name(answers[i].state()) +
-          " became " + v1::ApplyState_Name(resent[i].state())};
+      return Error{"a resent change got another reply than before: " +
+                   v1::ApplyState_Name(first_replies[i].state()) + " became " +
+                   v1::ApplyState_Name(resent[i].state())};
     }
   }
   return kDone;
@@ -159,7 +162,8 @@
   return isError(reply) ? Outcome(errorOf(reply)) : Outcome(kDone);
 }
 
-/// Replaces a control replica whose disk was emptied, and waits until the new one votes.
+/// Replaces a control replica whose data folder was wiped, and waits until the new replica
+/// votes.
 ScenarioRun::Outcome ScenarioRun::runReplace(const Command& command) {
   if (command.arguments.size() != 1) {
     return Error{"expected a daemon"};
@@ -167,7 +171,7 @@
   const std::string& name = command.arguments[0];
   v1::ReplaceReplicaRequest request;
   request.set_old_id(replica_ids_[name]);
-  const Outcome identified = waitFor("an identity in its new folder", [&] {
+  const Outcome identified = waitFor("an identity in its new data folder", [&] {
     std::ifstream in(fleet_->dataFolder(name) + "/identity");
     uint64_t id = 0;
     in >> id;
--- a/src/scenario/scenario_processes.cc
+++ b/src/scenario/scenario_processes.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Commands of scenarios that act on processes, links, disks and stand-ins.
+/// Scenario commands that act on processes, network links, disks and stand-ins.
 #include <filesystem>
 #include <fstream>
 #include <iterator>
@@ -46,15 +46,15 @@
   });
 }
 
-/// A planned stop: asks, waits for the end, and wants exit code 0.
+/// Stops processes gracefully, waits until they have exited, and expects exit code 0.
 ScenarioRun::Outcome ScenarioRun::runStop(const Command& command) {
   return forEachTarget(command, [this](const std::string& name) -> Outcome {
     unavailable_.insert(name);
     Process* process = fleet_->find(name);
     process->requestStop();
-    const Outcome ended = waitFor("its end", [process] { return process->hasExited(); });
+    const Outcome ended = waitFor("its exit", [process] { return process->hasExited(); });
     if (!isError(ended) && process->exitCode() != 0) {
-      return Error{"ended with exit code " + std::to_string(process->exitCode())};
+      return Error{"exited with code " + std::to_string(process->exitCode())};
     }
     return ended;
   });
@@ -63,14 +63,15 @@
 ScenarioRun::Outcome ScenarioRun::runWipe(const Command& command) {
   return forEachTarget(command, [this](const std::string& name) -> Outcome {
     if (fleet_->find(name)->running()) {
-      return Error{"runs; expected it to be killed first"};
+      return Error{"is running; it must be killed or stopped first"};
     }
     std::filesystem::remove_all(fleet_->dataFolder(name));
     return kDone;
   });
 }
 
-/// The disk of a running daemon takes no more than it has, or all again.
+/// Simulates a full disk for a running daemon by limiting its file size to that of its log, or
+/// removes the limit.
 ScenarioRun::Outcome ScenarioRun::runDisk(const Command& command) {
   const std::string state = textOption(command, "state", "");
   if (state != "full" && state != "works") {
@@ -84,13 +85,13 @@
     std::error_code failure;
     const auto size = std::filesystem::file_size(fleet_->dataFolder(name) + "/raft.log", failure);
     if (failure) {
-      return Error{"it has no log: " + failure.message()};
+      return Error{"cannot read the size of its log: " + failure.message()};
     }
     return process->limitFileSize(size);
   });
 }
 
-/// Flips a byte in the middle of a stopped replica's log.
+/// Changes a byte in the middle of the log of a stopped replica.
 ScenarioRun::Outcome ScenarioRun::runDamage(const Command& command) {
   return forEachTarget(command, [this](const std::string& name) -> Outcome {
     const std::string path = fleet_->dataFolder(name) + "/raft.log";
@@ -98,7 +99,7 @@
     const auto size = std::filesystem::file_size(path, failure);
     std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
     if (failure || !file || size < 200) {
-      return Error{path + " is too short to be damaged in its middle"};
+      return Error{path + " cannot be opened or is too short to be damaged in the middle"};
     }
     const auto middle = static_cast<std::streamoff>(size / 2);
     file.seekg(middle);
--- a/src/scenario/scenario_run.cc
+++ b/src/scenario/scenario_run.cc
@@ -119,7 +119,7 @@
   const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > until) {
-      return Error{"gave up waiting for " + what};
+      return Error{"timed out waiting for " + what};
     }
     std::this_thread::sleep_for(kPollInterval);
   }
@@ -190,18 +190,18 @@
                           : Result<std::string>(last_named_daemon_);
   }
   if (word == "some-router" || word == "some-control") {
-    std::vector<std::string> present;
+    std::vector<std::string> available;
     for (uint32_t router = 1; router <= fleet_->plan().routers; ++router) {
       const std::string name = "entry-" + std::to_string(router);
       const bool control = router <= fleet_->plan().controls;
       if (!unavailable_.contains(name) && control == (word == "some-control")) {
-        present.push_back(name);
+        available.push_back(name);
       }
     }
-    if (present.empty()) {
-      return Error{"no such daemon runs"};
+    if (available.empty()) {
+      return Error{"no daemon of this kind is running"};
     }
-    last_named_daemon_ = present[random_.below(present.size())];
+    last_named_daemon_ = available[random_.below(available.size())];
     return last_named_daemon_;
   }
   if (fleet_->find(word) == nullptr) {
@@ -282,7 +282,7 @@
 }
 
 ScenarioRun::Outcome ScenarioRun::waitRoutersReady(size_t routers) {
-  return waitFor(std::to_string(routers) + " routers that serve", [this, routers] {
+  return waitFor(std::to_string(routers) + " active routers", [this, routers] {
     const auto status = readStatus();
     if (!status) {
       return false;
@@ -332,7 +332,7 @@
   if (what == "ended" && command.arguments.size() == 2) {
     Process* process = fleet_->find(command.arguments[1]);
     return process == nullptr ? Outcome(Error{"no such process"})
-                              : waitFor("its end", [process] { return process->hasExited(); });
+                              : waitFor("its exit", [process] { return process->hasExited(); });
   }
   return Error{"expected: ready [N], load NAME [answers=N], new-leader, or ended NAME"};
 }
--- a/src/scenario/script.cc
+++ b/src/scenario/script.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Rules are named as in the library and in the grammar of script.h.
+// Rule names follow the PEGTL library and the grammar in script.h.
 // NOLINTBEGIN(readability-identifier-naming)
 namespace grammar {
 
--- a/src/scenario/script.h
+++ b/src/scenario/script.h
@@ -1,5 +1,5 @@
 /// @file
-/// Scenario files: one command a line.
+/// Parser of scenario files, which have one command per line:
 ///
 ///   line    = [ command ] [ '#' comment ]
 ///   command = word { blanks word }
@@ -18,9 +18,9 @@
 struct Command {
   size_t line = 0;
   std::string name;
-  /// Words without a name, in order.
+  /// Values without a name, in order.
   std::vector<std::string> arguments;
-  /// Words with a name.
+  /// Named values, by name.
   std::map<std::string, std::string> options;
 };
 
@@ -29,7 +29,8 @@
   std::vector<Command> commands;
 };
 
-/// @return an error that names file, line and what was expected.
+/// @param path name of the file in errors
+/// @return the commands, or an error with the file, line, column and the expected syntax.
 Result<Script> parseScript(const std::string& path, const std::string& content);
 
 } // namespace workshatch::scenario
--- a/src/scenario/soak_script.cc
+++ b/src/scenario/soak_script.cc
@@ -15,29 +15,33 @@
 constexpr uint32_t kControls = 3;
 constexpr uint32_t kDaemons = 5;
 constexpr uint32_t kModels = 4;
-/// A fault lasts for one to this many steps.
+/// Maximum duration of a fault; the minimum is one step.
 constexpr uint64_t kMaxFaultSteps = 4;
-/// Answers of the look-ups between two steps: they pace the scenario, whatever the machine's speed.
+/// Lookup attempts to wait for in each step. They pace the scenario independently of the machine's
+/// speed.
 constexpr uint32_t kAnswersPerStep = 250;
-/// The same while a daemon stands still, which holds each caller that asks it for six seconds.
+/// The same while a daemon is frozen, because each caller that calls it waits for the read timeout
+/// of six seconds.
 constexpr uint32_t kAnswersPerFrozenStep = 30;
+/// Chat sessions and confirmed keys per step, which set the size of the loads.
 constexpr uint32_t kSessionsPerStep = 4;
 constexpr uint32_t kKeysPerStep = 20;
 
-/// What may be disturbed by one fault at a time.
+/// Groups of processes. At most one fault is active in each.
 enum class FaultGroup { Control, Router, FirstModel, SecondModel };
 constexpr std::array<FaultGroup, 4> kFaultGroups = {
     FaultGroup::Control, FaultGroup::Router, FaultGroup::FirstModel, FaultGroup::SecondModel};
 
-/// A fault that lasts, and the commands that end it.
+/// An active fault and the command that ends it.
 struct Fault {
   FaultGroup group = FaultGroup::Control;
+  /// Name of the disturbed process.
   std::string target;
   uint32_t ends_at_step = 0;
   std::string end_command;
 };
 
-/// Commands that begin and end one kind of fault of a process; NAME stands for it.
+/// Commands that begin and end one kind of fault. NAME is replaced by the name of the process.
 struct FaultKind {
   const char* begin_command;
   const char* end_command;
@@ -69,7 +73,7 @@
   return at == std::string::npos ? result : result.replace(at, placeholder.size(), name);
 }
 
-/// Draws one scenario.
+/// Generates one scenario.
 class SoakScriptGenerator {
 public:
   explicit SoakScriptGenerator(const SoakPlan& plan) : plan_(plan), random_(plan.seed) {}
@@ -90,7 +94,8 @@
   }
 
 private:
-  /// One of so many steps is an operator's change.
+  /// On average, one in this many steps is a configuration change; the others begin a fault
+  /// if the drawn process group has none.
   static constexpr uint64_t kStepsPerChange = 4;
 
   void writeHeader() {
@@ -103,7 +108,8 @@
          << " repeat=2 concurrency=12 tokens=20 keep=yes\n"
          << "load confirm bookings count=" << (plan_.steps + 1) * kKeysPerStep
          << " repeat=2 concurrency=6 pause_ms=40 keep=yes\n";
-    // With the callers' connections, so that only what faults leave behind counts as growth.
+    // Wait until the callers have connected before the resource usage is recorded, so that their
+    // connections do not count as growth.
     out_ << "wait load boards answers=" << kAnswersPerStep / 2 << "\nwatch-footprint\n";
   }
 
@@ -129,7 +135,8 @@
                        [group](const Fault& fault) { return fault.group == group; });
   }
 
-  /// A process that was just started may not listen yet.
+  /// @return whether a fault of the process is active or ended in this step. In the latter case the
+  /// process may have been restarted and may not listen yet.
   bool isDisturbed(const std::string& name) const {
     return std::any_of(faults_.begin(), faults_.end(),
                        [&](const Fault& fault) { return fault.target == name; }) ||
@@ -150,7 +157,7 @@
     }
   }
 
-  /// Of the control replicas, or of the daemons without control.
+  /// Draws a control replica, or a daemon without control role.
   std::string drawDaemon(FaultGroup group) {
     const bool control = group == FaultGroup::Control;
     const uint64_t number = control ? 1 + random_.below(kControls)
@@ -169,7 +176,7 @@
     return drawn == kDaemonFaults.size() ? kFullDisk : kDaemonFaults[drawn];
   }
 
-  /// A heal mends all cuts, so that one daemon is cut off at a time.
+  /// The command `heal` ends all cuts, so only one daemon may be cut off at a time.
   bool hasActiveCut() const {
     return std::any_of(faults_.begin(), faults_.end(),
                        [](const Fault& fault) { return fault.end_command == "heal"; });
@@ -190,7 +197,8 @@
         .group = group, .target = name, .ends_at_step = step_ + steps, .end_command = end_command});
   }
 
-  /// Operators' changes, which are to be accepted also while one control replica is disturbed.
+  /// Writes a configuration change, which must be accepted even while one control replica is
+  /// disturbed.
   void writeChange() {
     if (random_.below(2) == 0 && !hasActiveFault(FaultGroup::Control)) {
       out_ << "race operators=3\n";
@@ -202,7 +210,7 @@
   const SoakPlan plan_;
   SeededRandom random_;
   uint32_t step_ = 0;
-  /// Answers that the last step waits for.
+  /// Total number of lookup attempts for which the last step waits.
   uint32_t answers_waited_for_ = 0;
   std::vector<Fault> faults_;
   /// Processes whose fault ended in this step.
--- a/src/scenario/soak_script.h
+++ b/src/scenario/soak_script.h
@@ -1,5 +1,6 @@
 /// @file
-/// Scenarios drawn by lot: overlapping series of faults, restarts and changes under steady load.
+/// Generates random scenarios: overlapping faults, restarts and configuration changes under steady
+/// load.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +9,19 @@
 namespace workshatch::scenario {
 
 struct SoakPlan {
-  /// Draws everything; the same seed gives the same scenario.
+  /// Seed of all random choices. The same options give the same scenario.
   uint64_t seed = 1;
-  /// Faults and changes before everything is mended at the end. Some five steps take ten seconds.
+  /// Number of faults and changes before all faults are ended. Five steps take about ten seconds.
   uint32_t steps = 40;
-  /// First three numbers of all addresses.
+  /// First three octets of all addresses.
   std::string network = "127.0.60";
 };
 
-/// @return the text of a scenario file, which replays the run.
-///
-/// Guarantees: at most one control replica, one daemon without control and two model runners are
-/// disturbed at the same time, each for some steps, so that faults overlap and the system can still
-/// go on; at the end all is mended and every load runs out.
+/// Generates a scenario. Each fault lasts for one to four steps, so that faults overlap. At most
+/// one control replica, one daemon without control role and two model runners are disturbed at the
+/// same time, so that the system can still make progress. At the end, all faults are ended and the
+/// scenario waits until every load has finished.
+/// @return the text of a scenario file, which can be replayed.
 std::string soakScript(const SoakPlan& plan);
 
 } // namespace workshatch::scenario
--- a/tests/unit/scenario/soak_script_test.cc
+++ b/tests/unit/scenario/soak_script_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Scenarios drawn by lot: what a seed gives, and what they never do.
+/// Tests of random soak scenarios: reproducibility by seed, and limits on simultaneous faults.
 #include <algorithm>
 #include <set>
 #include <sstream>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// What a drawn scenario leaves disturbed at one moment.
+/// Processes that are disturbed after the commands executed so far.
 struct DisturbedProcesses {
   std::set<std::string> names;
   std::set<std::string> partitioned;
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("A seed draws the same scenario again, and another seed another one") {
+TEST_CASE("Equal seeds give equal soak scenarios, different seeds give different ones") {
   const auto draw = [](uint64_t seed) {
     return scenario::soakScript(scenario::SoakPlan{.seed = seed});
   };
@@ -49,7 +49,7 @@
   CHECK(draw(1) != draw(2));
 }
 
-TEST_CASE("A drawn scenario disturbs two control replicas at once, or leaves something disturbed") {
+TEST_CASE("A soak scenario disturbs two control replicas at once, or leaves a process disturbed") {
   constexpr uint64_t kSeeds = 200;
   size_t max_disturbed = 0;
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
@@ -69,7 +69,7 @@
     CHECK(disturbed.names.empty());
     CHECK(disturbed.partitioned.empty());
   }
-  // Faults do overlap.
+  // Faults must overlap, or the scenario does not test their combinations.
   CHECK(max_disturbed >= 3);
 }
 
