--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# Plays days of a deployment with one mechanism of the policy off at a time, in a clone of HEAD.
+# Ablation test: runs bench days in a clone of HEAD, with one mechanism of the relay policy disabled
+# per run.
 #   scripts/ablation.sh BENCH FOLDER SITE "DAY..." MECHANISM...
-# BENCH is the users' bench; FOLDER takes the clone (one build serves all) and a report for each run;
-# the mechanism "none" leaves all on. Mechanisms are the members of src/core/relay/policy.h.
+# BENCH     the users' bench program
+# FOLDER    gets the clone, which is built once, and one report per run
+# MECHANISM a member of the policy in src/core/relay/policy.h, or "none" to disable nothing
 set -euo pipefail
 bench=$1 folder=$2 site=$3 days=$4
 shift 4
--- a/scripts/check_docs.sh
+++ b/scripts/check_docs.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Fails when a log event or a metric of the relay and group roles is missing in docs/EVENTS.md.
+# Fails if docs/EVENTS.md does not list a log event or metric of the relay and group roles.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 missing=0
 names=$(
-  # A call may begin on one line and name its event on the next.
+  # Join the lines, because the event name may be on the line after the start of the call.
   cat $(git ls-files 'src/daemon/relay/*.cc' 'src/daemon/group/*.cc' 'platform/*.cc') | tr '\n' ' ' |
     grep -oE 'line_log::write\( *"[a-z_]+"|expose[A-Za-z]*\((out|text), "[a-z_]+"' |
     grep -oE '"[a-z_]+"' | tr -d '"' | sort -u
--- a/scripts/check_names.sh
+++ b/scripts/check_names.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Fails when a name of the users' platform stands outside platform/ and deploy/, and when a part of
-# the source includes what lies outside its layer.
+# Fails if a name of the users' platform is used outside platform/ and deploy/, or if a source file
+# includes a header from outside its layer.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/check_style.sh
+++ b/scripts/check_style.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks clang-format and clang-tidy over the project's own files (not generated ones).
-# With arguments: only these files.
+# Runs clang-format and clang-tidy on the given files, by default on all sources that are not
+# generated.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 files=("$@")
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Sets up, builds, and runs the main job: five daemons, six runners and a platform stand-in as
-# processes on loopback; prints each step with its decision line.
+# Demo: installs dependencies, builds, and runs five daemons, six runners and a platform stand-in as
+# processes on loopback addresses. Prints each step and the routing decision of each request.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
@@ -86,7 +86,7 @@
 echo
 decision demo-2
 engine_of() { decision "$1" | sed 's/.*"duration_us":[0-9]*,"engine":"\([^"]*\)".*/\1/'; }
-[ "$(engine_of demo-1)" = "$(engine_of demo-2)" ] || { echo "another engine served it"; exit 1; }
+[ "$(engine_of demo-1)" = "$(engine_of demo-2)" ] || { echo "a different engine served the second request"; exit 1; }
 grep -q '"cached_tokens":[1-9]' "$run/second.txt" || { echo "no prefix-cache hit"; exit 1; }
 grep -q '\[DONE\]' "$run/first.txt" || { echo "the stream did not end"; exit 1; }
 
@@ -100,7 +100,7 @@
 decision demo-3
 confirm 127.0.10.5:8080 demo-4 | tee "$run/fourth.txt"
 echo
-cmp -s "$run/third.txt" "$run/fourth.txt" || { echo "the resend got another answer"; exit 1; }
+cmp -s "$run/third.txt" "$run/fourth.txt" || { echo "the repeated request got a different response"; exit 1; }
 grep -h 'request_outcome' "$run"/logs/entry-5.log | grep demo-4
 
 step "stop everything"
--- a/scripts/make_examples.py
+++ b/scripts/make_examples.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""Writes examples/: settings, declarations and machine lists of two sites, whole and small.
+"""Generates examples/: settings, declarations and machine lists of two sites, each in full size and
+as a small demo.
 
-The keys in the examples are placeholders; a site draws its own. Settings files hold keys, so copies
-that a daemon reads must have mode 0600.
+The keys in the examples are placeholders; each site must generate its own. Settings files contain
+keys, so the files that a daemon reads must have mode 0600.
 """
 import json
 import pathlib
--- a/scripts/sanitize.sh
+++ b/scripts/sanitize.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the unit tests and one scenario in a build with a sanitizer: "address" or "thread". By hand: the
-# build alone takes some ten minutes.
+# Runs the unit tests and one scenario in a build with a sanitizer: "address" or "thread". Run it
+# by hand: the build alone takes about ten minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 kind=${1:-address}
@@ -9,8 +9,8 @@
   thread) flags="-fsanitize=thread" ;;
   *) echo "expected address or thread" >&2; exit 2 ;;
 esac
-# gRPC and protobuf are not instrumented: the thread sanitizer reports races inside of them and has
-# ended itself there, so tests that make calls of gRPC are left out with it, and so is the scenario.
+# gRPC and protobuf are not instrumented: the thread sanitizer reports races inside them and has
+# crashed there, so its run excludes the unit tests that make gRPC calls, and the scenario.
 left_out=""
 if [ "$kind" = thread ]; then
   left_out="*control_stop_test*,*control_role_test*,*replica_transport_test*"
@@ -27,6 +27,6 @@
 fi
 "$build/workshatch-scenario" run tests/scenario/planned-stop-pressed.scn --programs "$build" --folder "run/sanitize-$kind"
 if grep -l "Sanitizer" "run/sanitize-$kind"/*/logs/*.log; then
-  echo "a sanitizer reported a fault in the logs above" >&2
+  echo "a sanitizer reported an error in the logs above" >&2
   exit 1
 fi
--- a/scripts/settings_reference.py
+++ b/scripts/settings_reference.py
@@ -1,5 +1,8 @@
 #!/usr/bin/env python3
-"""Writes docs/SETTINGS.md from the schema that checks settings; --check fails when it is stale."""
+"""Generates docs/SETTINGS.md from the JSON schemas that validate settings and declarations.
+
+With --check, writes nothing and fails if the page is stale.
+"""
 import json
 import pathlib
 import sys
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that building and testing need, when they are missing.
+# Installs the missing Debian packages that are needed to build and test.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache pkg-config
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Sets up, builds and passes all the tests: unit tests, then scenarios against real processes.
-# Tests named in KNOWN-RED.txt are printed and do not count as failed.
+# Installs dependencies, builds, and runs all tests: unit tests, then scenarios against real
+# processes.
+# Tests listed in KNOWN-RED.txt are printed and do not count as failed.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh || exit 1
@@ -12,7 +13,7 @@
 mkdir -p run
 : >"$report"
 
-# Titles of the unit tests in KNOWN-RED.txt, joined by commas.
+# Titles of the unit tests listed in KNOWN-RED.txt, separated by commas.
 known_red_units=""
 if [ -f KNOWN-RED.txt ]; then
   known_red_units=$(sed -n 's/^unit test "\([^"]*\)":.*/\1/p' KNOWN-RED.txt | paste -sd ,)
@@ -22,7 +23,7 @@
   grep '^unit test "' KNOWN-RED.txt | sed 's/^/known red: /'
 fi
 if [ -f KNOWN-RED.txt ]; then
-  # Runs by hand that failed; nothing here runs them.
+  # Soak runs that failed when started by hand; this script does not run them.
   grep '^soak' KNOWN-RED.txt | sed 's/^/known red: /'
 fi
 counts=$(grep -o 'test cases: *[0-9]* | *[0-9]* passed | *[0-9]* failed' "$report" | tail -n 1)
@@ -33,15 +34,15 @@
   failed=$((failed + 1))
 fi
 
-# Two scenarios run side by side, each on a network of its own: most of their time they wait. These
-# measure loads and times, so nothing runs beside them.
+# Two scenarios run in parallel, each on its own network, because they mostly wait. The following
+# scenarios measure loads and times, so each of them runs alone.
 alone="load-cap tenant-surge"
 reports=run/scenario-reports
 rm -rf "$reports"
 mkdir -p "$reports"
 run_scenario() { # NAME
   build/workshatch-scenario run "tests/scenario/$1.scn" --seed "${SEED:-1}" >"$reports/$1.txt" 2>&1
-  # A scenario without its closing line has not passed.
+  # A scenario that does not print its last line counts as failed.
   tail -n 1 "$reports/$1.txt" | grep -qx '1 passed, 0 failed' || echo "$1" >>"$reports/failed"
 }
 export -f run_scenario
