--- a/src/core/relay/relay_monitor.h
+++ b/src/core/relay/relay_monitor.h
@@ -25,7 +25,7 @@
   void recordRenewal(const std::string& relay, int64_t now_ms) {
     relays_[relay] = RelayRecord{now_ms, 0};
   }
-  void forget(const std::string& relay) { relays_.erase(relay); }
+  void remove(const std::string& relay) { relays_.erase(relay); }
   void clear() { relays_.clear(); }
 
   /// Records that another relay got no answer from this one.
--- a/src/core/relay/runner_backoffs.cc
+++ b/src/core/relay/runner_backoffs.cc
@@ -22,7 +22,7 @@
   if (!backoffs_.contains(incarnation)) {
     dropExpired(now_ms);
   }
-  backoffs_[incarnation] = Kept{.backoff = backoff, .noted_ms = now_ms};
+  backoffs_[incarnation] = Kept{.backoff = backoff, .recorded_ms = now_ms};
   return backoff;
 }
 
@@ -37,7 +37,7 @@
   }
   std::erase_if(backoffs_, [now_ms](const auto& entry) {
     const Kept& kept = entry.second;
-    return kept.backoff.leaving ? now_ms - kept.noted_ms > kLeavingRetentionMs
+    return kept.backoff.leaving ? now_ms - kept.recorded_ms > kLeavingRetentionMs
                                 : !kept.backoff.holds(now_ms);
   });
 }
--- a/src/core/relay/runner_backoffs.h
+++ b/src/core/relay/runner_backoffs.h
@@ -42,7 +42,7 @@
 private:
   struct Kept {
     RunnerBackoff backoff;
-    int64_t noted_ms = 0;
+    int64_t recorded_ms = 0;
   };
 
   void dropExpired(int64_t now_ms);
--- a/src/core/relay/runner_crash_times.h
+++ b/src/core/relay/runner_crash_times.h
@@ -20,9 +20,9 @@
 /// milliseconds
 /// @return remaining time in quarantine, at least one second, because clocks differ.
 inline uint32_t quarantineLeftMs(uint64_t since_ms, uint64_t now_ms) {
-  constexpr int64_t kLeastMs = 1000;
+  constexpr int64_t kMinMs = 1000;
   const auto past_ms = static_cast<int64_t>(now_ms) - static_cast<int64_t>(since_ms);
-  return static_cast<uint32_t>(std::clamp(kQuarantineMs - past_ms, kLeastMs, kQuarantineMs));
+  return static_cast<uint32_t>(std::clamp(kQuarantineMs - past_ms, kMinMs, kQuarantineMs));
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/runner_table.cc
+++ b/src/core/relay/runner_table.cc
@@ -28,8 +28,8 @@
 constexpr int64_t kAvoidMisdirectedMs = 5000;
 
 int64_t holdDownMs(int64_t first_ms, uint32_t failures) {
-  constexpr uint32_t kMostDoublings = 5;
-  const uint32_t doublings = std::min(failures == 0 ? 0 : failures - 1, kMostDoublings);
+  constexpr uint32_t kMaxDoublings = 5;
+  const uint32_t doublings = std::min(failures == 0 ? 0 : failures - 1, kMaxDoublings);
   return std::min(first_ms << doublings, kMaxAvoidMs);
 }
 
--- a/src/core/relay/slot_owner.cc
+++ b/src/core/relay/slot_owner.cc
@@ -96,7 +96,7 @@
   applyReport(slotStateOf(use.runner(), now_ms), relay, use, now_ms);
 }
 
-void SlotOwner::forgetRelay(const std::string& relay) {
+void SlotOwner::dropRelay(const std::string& relay) {
   for (auto& [runner, slots] : runners_) {
     const auto found = slots.usage_by_relay.find(relay);
     if (found != slots.usage_by_relay.end()) {
@@ -106,7 +106,7 @@
   }
 }
 
-void SlotOwner::forgetStale(int64_t now_ms) {
+void SlotOwner::dropStale(int64_t now_ms) {
   for (auto& [runner, slots] : runners_) {
     for (auto entry = slots.usage_by_relay.begin(); entry != slots.usage_by_relay.end();) {
       if (now_ms - entry->second.reported_ms < kUsageValidMs) {
--- a/src/core/relay/slot_owner.h
+++ b/src/core/relay/slot_owner.h
@@ -75,10 +75,10 @@
   void recordUsage(const std::string& relay, const v1::PlaceUse& use, int64_t now_ms);
 
   /// Drops the usage of a relay that is gone.
-  void forgetRelay(const std::string& relay);
+  void dropRelay(const std::string& relay);
 
   /// Drops usage whose report was not repeated in time.
-  void forgetStale(int64_t now_ms);
+  void dropStale(int64_t now_ms);
 
   /// @return the requests in progress at the runner, by the relays' reports.
   uint32_t loadOf(uint64_t runner) const;
--- a/src/daemon/group/lease_service.cc
+++ b/src/daemon/group/lease_service.cc
@@ -57,7 +57,7 @@
   if (same) {
     // A relay process that has died is removed immediately. One that only lost its link renews on a
     // new link.
-    relay_monitor_.forget(relay);
+    relay_monitor_.remove(relay);
     relays_.erase(found);
   }
 }
--- a/src/daemon/relay/active_request.cc
+++ b/src/daemon/relay/active_request.cc
@@ -80,7 +80,7 @@
     if (no_runner_ == relay::NoRunner::AllFull && co_await waitForSlot()) {
       continue;
     }
-    if (choice == nullptr || !takeRepeatFromBudget()) {
+    if (choice == nullptr || !takeRetryFromBudget()) {
       break;
     }
     recordChoice(*choice);
@@ -221,7 +221,7 @@
 
 /// Takes an attempt that repeats the request from the retry budget; the first attempt needs none.
 /// @return whether the attempt is allowed.
-bool ActiveRequest::takeRepeatFromBudget() {
+bool ActiveRequest::takeRetryFromBudget() {
   if (sent_attempts_ == 0) {
     return true;
   }
--- a/src/daemon/relay/active_request.h
+++ b/src/daemon/relay/active_request.h
@@ -127,7 +127,7 @@
   http::awaitable<bool> claimSlot(const relay::RunnerChoice& choice);
   bool usesSlotOwners() const;
   http::awaitable<bool> waitForSlot();
-  bool takeRepeatFromBudget();
+  bool takeRetryFromBudget();
   void recordChoice(const relay::RunnerChoice& choice);
 
   bool interrupted() const {
--- a/src/daemon/relay/slot_client.cc
+++ b/src/daemon/relay/slot_client.cc
@@ -56,7 +56,7 @@
   owner_.recordOwnersChanged(clock_.monotonicMs());
   for (const std::string& relay : removed) {
     // A relay that crashed uses no slots; one that is stopping is about to release its slots.
-    owner_.forgetRelay(relay);
+    owner_.dropRelay(relay);
   }
   for (const auto& [runner, before] : previous_owners_) {
     const std::string* owner = peers_->ownerOf(runner);
@@ -143,7 +143,7 @@
   }
   if (now_ms >= next_expiry_ms_) {
     next_expiry_ms_ = now_ms + kExpiryPeriodMs;
-    owner_.forgetStale(now_ms);
+    owner_.dropStale(now_ms);
   }
 }
 
--- a/tests/unit/core/relay/slot_owner_test.cc
+++ b/tests/unit/core/relay/slot_owner_test.cc
@@ -81,9 +81,9 @@
   owner.recordUsage("a", report(5, 1), kAllReportedMs);
   // The report that four of the five requests ended was lost.
   CHECK(owner.claim("a", claim(1, 3, 9), runnerWithLoad(0), kAllReportedMs).load == 2);
-  owner.forgetStale(kAllReportedMs + 2 * relay::kSlotUsageReportPeriodMs);
+  owner.dropStale(kAllReportedMs + 2 * relay::kSlotUsageReportPeriodMs);
   CHECK(owner.loadOf(kRunner) == 2);
-  owner.forgetStale(kAllReportedMs + 3 * relay::kSlotUsageReportPeriodMs);
+  owner.dropStale(kAllReportedMs + 3 * relay::kSlotUsageReportPeriodMs);
   CHECK(owner.loadOf(kRunner) == 0);
 }
 
@@ -91,7 +91,7 @@
   relay::SlotOwner owner = ownerWithAllReports();
   owner.recordUsage("a", report(5, 1), kAllReportedMs);
   owner.recordUsage("b", report(3, 1), kAllReportedMs);
-  owner.forgetRelay("a");
+  owner.dropRelay("a");
   CHECK(owner.loadOf(kRunner) == 3);
 }
 
