--- a/src/core/relay/completed_requests.h
+++ b/src/core/relay/completed_requests.h
@@ -13,7 +13,7 @@
 ///
 /// Load pattern: clients that repeat a request every few seconds have it in progress on many
 /// runners at any moment. When several runners lose power together, that request was running on
-/// each of them; its earlier completion clears it.
+/// each of them; its earlier completion shows that it did not crash them.
 ///
 /// Memory is bounded for any number of different requests: many new requests evict old ones, which
 /// then only lose this protection. Times are milliseconds of the monotonic clock. Not safe for
--- a/src/core/relay/first_lease.h
+++ b/src/core/relay/first_lease.h
@@ -13,10 +13,9 @@
 /// after a power loss, leases arrived 50 to 560 ms after the relays' start.
 inline constexpr int64_t kFirstLeaseExpectedMs = 600;
 
-/// Fraction of a caller's timeout for which its request may wait. In the known deployments the
-/// timeout is 6 to 33 times the objective, so the wait takes between a fifth of the objective and
-/// all of it. A larger fraction would make more answers late that another relay could have given in
-/// time.
+/// Fraction of a caller's timeout for which its request may wait. Timeouts in use are 6 to
+/// 33 times the objective, so the wait takes between a fifth of the objective and all of it. A
+/// larger fraction would make more answers late that another relay could have given in time.
 inline constexpr double kFirstLeaseWaitFraction = 0.03;
 
 /// @param since_start_ms time since the relay's process started
--- a/src/core/relay/placement.h
+++ b/src/core/relay/placement.h
@@ -75,6 +75,6 @@
 };
 
 /// @return the runner to try next; empty if all that the request may try are full.
-std::optional<SlotOffer> nextOffer(const PlacementOptions& options, const PlacementQuery& question);
+std::optional<SlotOffer> nextOffer(const PlacementOptions& options, const PlacementQuery& query);
 
 } // namespace workshatch::relay
--- a/src/core/relay/prefix_directory.cc
+++ b/src/core/relay/prefix_directory.cc
@@ -67,8 +67,8 @@
 
 void PrefixDirectory::recordUse(Holders& holders, uint64_t runner, int64_t now_ms) {
   HolderState& state = holders[runner];
-  const bool anew = state.used_ms == 0 || now_ms - state.used_ms >= kCacheRetentionMs;
-  if (anew) {
+  const bool newly_held = state.used_ms == 0 || now_ms - state.used_ms >= kCacheRetentionMs;
+  if (newly_held) {
     state.since_ms = now_ms;
   }
   state.used_ms = now_ms;
--- a/src/core/relay/prefix_sources.cc
+++ b/src/core/relay/prefix_sources.cc
@@ -19,7 +19,7 @@
   return runner.listed_since_ms != 0 && now_ms - runner.listed_since_ms < kNewRunnerMs;
 }
 
-bool wasAvoidedLately(const Runner& runner, int64_t now_ms) {
+bool wasRecentlyAvoided(const Runner& runner, int64_t now_ms) {
   return runner.avoid_until_ms != 0 && now_ms - runner.avoid_until_ms < kCacheRetentionMs;
 }
 
@@ -45,8 +45,8 @@
 /// none.
 std::shared_ptr<Runner> previousHome(const SourceQuery& query) {
   return firstRanked(query, query.prefix, [&](const Runner& runner) {
-    const bool here = &runner == query.chosen;
-    return !isNew(runner, query.now_ms) && (here || !query.avoided(runner));
+    const bool is_chosen = &runner == query.chosen;
+    return !isNew(runner, query.now_ms) && (is_chosen || !query.avoided(runner));
   });
 }
 
@@ -101,7 +101,7 @@
   if (home && home.get() != query.chosen) {
     return home;
   }
-  if (!home || wasAvoidedLately(*query.chosen, query.now_ms)) {
+  if (!home || wasRecentlyAvoided(*query.chosen, query.now_ms)) {
     return nextInRanking(query, query.prefix);
   }
   // If any runner has the prefix, it is the chosen one. The parent, which many prefixes share, may
--- a/src/core/relay/relay_monitor.h
+++ b/src/core/relay/relay_monitor.h
@@ -15,7 +15,7 @@
 /// renewals lasts for seconds, during which callers are sent to the silent relays and other relays
 /// send them slot claims. However, relays send each other requests many times per second. A relay
 /// that gets no answer in time reports it, and the leader asks the silent relay to renew at once: a
-/// relay that was only busy does so, and one that is gone is detected after some hundred
+/// relay that was only busy does so, and one that is gone is detected after several hundred
 /// milliseconds, whatever the size of the fleet.
 ///
 /// Times are milliseconds of the monotonic clock. Not safe for concurrent use.
--- a/src/core/relay/retry_after_scheduler.cc
+++ b/src/core/relay/retry_after_scheduler.cc
@@ -11,7 +11,8 @@
 /// The rate of completions is measured over this time: a few times the duration of an engine's
 /// request.
 constexpr int64_t kRateWindowMs = 2000;
-/// Minimum delay: a relay's data on the load of the others is no newer than this.
+/// Minimum delay if the caller has enough time left: a relay's data on the load of the others is no
+/// newer than this.
 constexpr int64_t kMinDelayMs = 250;
 /// Fraction of the released slots for callers that retry; the rest is for new callers.
 constexpr double kRetryFraction = 0.5;
--- a/src/core/relay/retry_budget.cc
+++ b/src/core/relay/retry_budget.cc
@@ -36,7 +36,7 @@
   fewer_relays_ = std::max(fewer_relays_, reported);
 }
 
-/// Adopts the lower number of relays once it has been reported for a whole window.
+/// Adopts a lower number of relays once all reports of a whole window were lower.
 void RetryBudget::adoptFewerRelays(int64_t now_ms) {
   if (fewer_relays_ == 0 || now_ms - fewer_since_ms_ < options_.window_ms) {
     return;
--- a/src/core/relay/retry_budget.h
+++ b/src/core/relay/retry_budget.h
@@ -40,7 +40,8 @@
   explicit RetryBudget(RetryBudgetOptions options) : options_(options) {}
 
   /// Sets the number of relays that share the slack. After a decrease, the higher number applies
-  /// for another window, since the relays that left may have spent their shares in this one.
+  /// for another window, because the relays that left may have spent their shares in the present
+  /// one.
   void setRelays(size_t relays, int64_t now_ms);
 
   /// Records the first attempt of a request.
@@ -69,8 +70,8 @@
 
   const RetryBudgetOptions options_;
   size_t relays_ = 0;
-  /// The last reported number of relays if it is lower than `relays_`, and since when it has been;
-  /// 0 if it is not lower.
+  /// The highest number reported since the reported numbers fell below `relays_`, and the time
+  /// since which they have been lower; 0 if the last reported number was not lower.
   size_t fewer_relays_ = 0;
   int64_t fewer_since_ms_ = 0;
   /// The slack accrues from this time on; the number of relays was not known before.
--- a/src/core/relay/rollout_analysis.cc
+++ b/src/core/relay/rollout_analysis.cc
@@ -78,14 +78,14 @@
 }
 
 std::optional<v1::RolloutPhase>
-RolloutAnalysis::evaluateTrial(const RolloutConditions& situation) const {
+RolloutAnalysis::evaluateTrial(const RolloutConditions& conditions) const {
   const auto duration = static_cast<double>(duration_ms_);
-  const auto elapsed = static_cast<double>(elapsedMs(situation.now_ms));
+  const auto elapsed = static_cast<double>(elapsedMs(conditions.now_ms));
   if (elapsed < kTrialFraction * duration) {
     return std::nullopt;
   }
-  const bool enough_slots = static_cast<double>(situation.target_slots) >=
-                            kMinSlotsFraction * static_cast<double>(situation.former_slots);
+  const bool enough_slots = static_cast<double>(conditions.target_slots) >=
+                            kMinSlotsFraction * static_cast<double>(conditions.former_slots);
   const bool enough_responses = outcomes_.totalOf(true).ended >= kMinResponses;
   if (enough_slots && enough_responses && evidence_.strength < kEvidenceAgainstPromotion) {
     return v1::ROLLOUT_PROMOTING;
@@ -95,18 +95,18 @@
 }
 
 std::optional<v1::RolloutPhase> RolloutAnalysis::decide(v1::RolloutPhase phase,
-                                                        const RolloutConditions& situation) {
+                                                        const RolloutConditions& conditions) {
   evidence_ = strongestEvidence();
   if (evidence_.strength >= kStrongEvidence) {
     return v1::ROLLOUT_ROLLED_BACK;
   }
-  if (!situation.all_relays_reported) {
+  if (!conditions.all_relays_reported) {
     return std::nullopt;
   }
   if (phase == v1::ROLLOUT_CANARY) {
-    return evaluateTrial(situation);
+    return evaluateTrial(conditions);
   }
-  return situation.former_idle ? std::optional(v1::ROLLOUT_SUCCEEDED) : std::nullopt;
+  return conditions.former_idle ? std::optional(v1::ROLLOUT_SUCCEEDED) : std::nullopt;
 }
 
 } // namespace workshatch::relay
--- a/src/core/relay/rollout_analysis.h
+++ b/src/core/relay/rollout_analysis.h
@@ -46,7 +46,7 @@
 
   /// @return the next phase of the rollout; empty: it stays in the present one.
   std::optional<v1::RolloutPhase> decide(v1::RolloutPhase phase,
-                                         const RolloutConditions& situation);
+                                         const RolloutConditions& conditions);
 
   /// Outcomes since the beginning of the rollout, for the log.
   const VersionComparison& outcomes() const { return outcomes_; }
@@ -66,7 +66,7 @@
 
   void takeSnapshot(int64_t now_ms);
   Evidence strongestEvidence() const;
-  std::optional<v1::RolloutPhase> evaluateTrial(const RolloutConditions& situation) const;
+  std::optional<v1::RolloutPhase> evaluateTrial(const RolloutConditions& conditions) const;
 
   const int64_t duration_ms_;
   const int64_t started_ms_;
--- a/src/core/relay/runner.h
+++ b/src/core/relay/runner.h
@@ -55,7 +55,7 @@
   int64_t cold_until_ms = 0;
   /// When the runner was added to the list; zero: it was in the first list.
   int64_t listed_since_ms = 0;
-  /// The runner was removed from the list. The object lives on while attempts are in progress.
+  /// The runner was removed from the list. The object is kept while attempts are in progress.
   bool gone = false;
 
   /// @return whether the runner's process is about to end, according to the list or to the runner
--- a/src/core/relay/runner_backoffs.cc
+++ b/src/core/relay/runner_backoffs.cc
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Maximum number of backoffs. When it is reached, those that are over are dropped.
+/// Number of backoffs from which on expired ones are dropped. Backoffs in force are kept, whatever
+/// their number.
 constexpr size_t kMaxBackoffs = 4096;
 /// Time after which a leaving process has certainly ended.
 constexpr int64_t kLeavingRetentionMs = 600'000;
--- a/src/core/relay/runner_choice.cc
+++ b/src/core/relay/runner_choice.cc
@@ -36,10 +36,10 @@
   const v1::Rollout* rollout = rollouts_.findRollout(request.service);
   usable.reserve(service->second.runners.size());
   for (const auto& runner : service->second.runners) {
-    const bool open =
+    const bool eligible =
         !runner->isLeaving() && !runner->evacuated &&
         (rollout == nullptr || admitsVersion(*rollout, runner->entry.version(), request.trial));
-    if (!open || !isHome(request.home_regions, *runner) || isExcluded(request, *runner)) {
+    if (!eligible || !isHome(request.home_regions, *runner) || isExcluded(request, *runner)) {
       continue;
     }
     // A runner that requested a backoff is not even a last resort: its request is explicit, unlike
@@ -100,11 +100,11 @@
   }
   const v1::Rollout* rollout = rollouts_.findRollout(request.service);
   for (const auto& runner : services_.at(request.service).runners) {
-    const bool held_back =
+    const bool gets_no_requests =
         runner->evacuated || isBackingOff(*runner, request.now_ms) ||
         (rollout != nullptr && !admitsVersion(*rollout, runner->entry.version(), request.trial));
-    load += held_back ? runner->load() : 0;
-    counted += held_back ? 1 : 0;
+    load += gets_no_requests ? runner->load() : 0;
+    counted += gets_no_requests ? 1 : 0;
   }
   return static_cast<double>(load) / static_cast<double>(counted);
 }
@@ -215,13 +215,13 @@
   if (found == services_.end()) {
     return 0;
   }
-  int64_t least_ms = 0;
+  int64_t earliest_ms = 0;
   for (const auto& runner : found->second.runners) {
     const int64_t left_ms = runner->backoff.time.remainingMs(now_ms);
-    const bool sooner = left_ms > 0 && (least_ms == 0 || left_ms < least_ms);
-    least_ms = sooner ? left_ms : least_ms;
+    const bool sooner = left_ms > 0 && (earliest_ms == 0 || left_ms < earliest_ms);
+    earliest_ms = sooner ? left_ms : earliest_ms;
   }
-  return least_ms;
+  return earliest_ms;
 }
 
 /// Load cap where slot owners count the load. Without load totals the mean is not known, and there
@@ -240,13 +240,13 @@
                                                      const Candidates& candidates, bool by_prompt,
                                                      bool busy) const {
   const auto isFull = [&](const auto& runner) { return runner->full_until_ms > request.now_ms; };
-  Candidates open;
+  Candidates not_full;
   const bool some_full = std::any_of(candidates.begin(), candidates.end(), isFull);
   if (some_full) {
-    std::remove_copy_if(candidates.begin(), candidates.end(), std::back_inserter(open), isFull);
+    std::remove_copy_if(candidates.begin(), candidates.end(), std::back_inserter(not_full), isFull);
   }
   const auto offer =
-      nextOffer(options_.placement, PlacementQuery{.candidates = some_full ? open : candidates,
+      nextOffer(options_.placement, PlacementQuery{.candidates = some_full ? not_full : candidates,
                                                    .refused = request.refused_slots,
                                                    .by_prompt = by_prompt,
                                                    .engine = request.engine,
@@ -265,7 +265,8 @@
                                                             Candidates candidates, bool by_prompt,
                                                             bool busy) const {
   if (by_prompt && busy && options_.policy.few_homes && !request.ignores_limits) {
-    // Reading a long prefix again on another runner costs more of its time than the request itself.
+    // Few homes are used, because reading a long prefix again on another runner costs that runner
+    // more time than the request itself.
     candidates.resize(std::min(candidates.size(), options_.busy_homes));
   }
   std::erase_if(candidates,
@@ -320,8 +321,8 @@
     // A runner of another zone must have at least one request less to be worth the longer network
     // path.
     const bool near = runner.entry.zone() == request.zone || !options_.policy.own_zone_first;
-    const uint32_t distance = near ? 0 : 1;
-    return runner.load() + distance;
+    const uint32_t zone_penalty = near ? 0 : 1;
+    return runner.load() + zone_penalty;
   };
   const auto best = std::min_element(
       candidates.begin(), candidates.end(), [&](const auto& left, const auto& right) {
--- a/src/core/relay/runner_crash_counts.cc
+++ b/src/core/relay/runner_crash_counts.cc
@@ -123,12 +123,12 @@
 
 /// Drops the request with the fewest crashes; among several, the one that was reported longest ago.
 void RunnerCrashCounts::evictOne() {
-  const auto least =
+  const auto fewest_crashes =
       std::min_element(requests_.begin(), requests_.end(), [](const auto& left, const auto& right) {
         return std::pair(left.second.crashes.size(), left.second.last_report_ms) <
                std::pair(right.second.crashes.size(), right.second.last_report_ms);
       });
-  requests_.erase(least);
+  requests_.erase(fewest_crashes);
 }
 
 void RunnerCrashCounts::dropExpired(int64_t now_ms) {
--- a/src/core/relay/runner_crash_counts.h
+++ b/src/core/relay/runner_crash_counts.h
@@ -23,7 +23,7 @@
 /// with a valid lease has a link.
 ///
 /// A request is put into quarantine after `kCrashesForQuarantine` crashes, if no other request was
-/// running at all of them too. Otherwise the next crash tells the requests apart; after
+/// running at all of them too. Otherwise the next crash distinguishes the requests; after
 /// `kCrashesWithoutComparison` crashes all of them are put into quarantine. Crashes at which a
 /// request in quarantine was running are not held against any other request. A request that
 /// completes is cleared of all its crashes so far.
--- a/src/core/relay/runner_list_history.h
+++ b/src/core/relay/runner_list_history.h
@@ -27,13 +27,14 @@
 
   /// @param base_version version of the receiver's list
   /// @return the update to the newest list, or the whole list if the receiver's list is not kept
-  /// here. Valid until the next `add` or `clear`.
+  /// here. Valid until the next `add`, `refreshNewest` or `clear`.
   const v1::RunnerListUpdate& updateFrom(uint64_t base_version);
 
   /// @param base_version version of the receiver's list, which another leader made
   /// @param fingerprint fingerprint of the receiver's list
   /// @return the update to the newest list. It consists of the new version only if the receiver's
-  /// list has the same content. Valid until the next `add`, `refreshNewest` or `clear`.
+  /// list has the same content. Valid until the next call of this function, `add`, `refreshNewest`
+  /// or `clear`.
   const v1::RunnerListUpdate& updateFrom(uint64_t base_version, uint64_t fingerprint);
 
   /// @return for each position in the list of that version, the position of the same runner in the
--- a/src/core/relay/runner_table.cc
+++ b/src/core/relay/runner_table.cc
@@ -168,15 +168,16 @@
 
 void RunnerTable::applyEntry(Runner& runner, const v1::RunnerEntry& entry, int64_t now_ms) {
   const bool newly_listed = runner.entry.id().empty() && runner.listed_since_ms != 0;
-  const bool read_here = list_version_ == 0;
-  const bool known = read_here && !runner.entry.id().empty() && !runner.version_unconfirmed &&
-                     runner.entry.version() == entry.version();
-  runner.version_unconfirmed = read_here && !known;
+  const bool read_from_platform = list_version_ == 0;
+  const bool version_known = read_from_platform && !runner.entry.id().empty() &&
+                             !runner.version_unconfirmed &&
+                             runner.entry.version() == entry.version();
+  runner.version_unconfirmed = read_from_platform && !version_known;
   ++entries_applied_;
   runner.entry = entry;
   runner.entry_fingerprint = fingerprintOf(entry);
-  // The cold time counts from the moment at which the list was read, so that the next update must
-  // not apply it again.
+  // The cold time of an entry counts from now. The stored entry must not contain it, because the
+  // next update would apply it again.
   runner.entry.clear_cold_ms();
   runner.gone = false;
   runner.region = options_.zones.regionOf(entry.zone());
--- a/src/core/relay/runner_table.h
+++ b/src/core/relay/runner_table.h
@@ -205,6 +205,9 @@
   /// requested one.
   int64_t backoffLeftMs(const std::string& service, int64_t now_ms) const;
 
+  /// Chooses a runner and counts the request among those of its service, unless it was counted
+  /// already.
+  /// @return the runner, or the reason why there is none.
   std::variant<RunnerChoice, NoRunner> choose(const RunnerRequest& request);
   /// @return age of the load totals in milliseconds; -1: there are no valid ones.
   int64_t loadTotalsAgeMs(int64_t now_ms) const {
--- a/src/core/relay/serving_lease.h
+++ b/src/core/relay/serving_lease.h
@@ -43,8 +43,8 @@
 
   bool holds(int64_t now_ms) const { return ever_confirmed_ && ageMs(now_ms) < length_ms_; }
 
-  /// @return whether the last confirmation is so recent that an entry that this relay does not know
-  /// does not exist.
+  /// @return whether the last confirmation is so recent that this relay may treat an entry that it
+  /// does not know as nonexistent.
   bool isFresh(int64_t now_ms) const { return holds(now_ms) && ageMs(now_ms) <= kFreshMs; }
 
   /// @return milliseconds since the newest confirmed renewal was sent; -1 before the first
--- a/src/core/relay/slot_owner.cc
+++ b/src/core/relay/slot_owner.cc
@@ -68,8 +68,8 @@
   if (!slots.rate_limiter) {
     slots.rate_limiter.emplace(now_ms);
   }
-  const bool two_owners = owners_changed_ms_ && now_ms - *owners_changed_ms_ < kOwnerOverlapMs;
-  return slots.rate_limiter->take(runner.cold_pace, two_owners, now_ms);
+  const bool owner_overlap = owners_changed_ms_ && now_ms - *owners_changed_ms_ < kOwnerOverlapMs;
+  return slots.rate_limiter->take(runner.cold_pace, owner_overlap, now_ms);
 }
 
 SlotOwner::Decision SlotOwner::claim(const std::string& relay, const v1::PlaceClaim& claim,
