--- a/tests/unit/core/relay/cold_runners_test.cc
+++ b/tests/unit/core/relay/cold_runners_test.cc
@@ -181,7 +181,7 @@
   CHECK_FALSE(owner.claim("a", claim, relay::OwnedRunner{}, 0).granted);
 }
 
-TEST_CASE("An owner gives no place at a runner of an evacuated zone") {
+TEST_CASE("An owner grants no slot at a runner of an evacuated zone") {
   relay::SlotOwner owner;
   v1::PlaceClaim claim;
   claim.mutable_use()->set_runner(kRunner);
@@ -200,10 +200,11 @@
         const relay::RateLimit limit = relay::rateLimitFor(sustainable, factor, slack);
         CHECK(limit.per_s <= sustainable);
         CHECK(limit.per_s > 0);
-        const double most = sustainable * factor + slack;
-        // With less than one and a half requests per second not even one request fits.
-        if (most >= 2) {
-          CHECK(1.5 * limit.per_s + limit.burst <= most + 1);
+        const double max_per_second = sustainable * factor + slack;
+        // A bound of less than two requests per second is not checked: the lowest rate and a burst
+        // of one request may exceed it.
+        if (max_per_second >= 2) {
+          CHECK(1.5 * limit.per_s + limit.burst <= max_per_second + 1);
         }
       }
     }
--- a/tests/unit/core/relay/load_cap_test.cc
+++ b/tests/unit/core/relay/load_cap_test.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Traffic of a quiet day of the deployment where the cap was exceeded (hhpn-stock).
+/// Traffic of a quiet day on which the cap was exceeded.
 constexpr size_t kRelays = 10;
 constexpr int kRunners = 18;
 constexpr uint32_t kSlots = 48;
--- a/tests/unit/core/relay/placement_test.cc
+++ b/tests/unit/core/relay/placement_test.cc
@@ -276,8 +276,8 @@
   CHECK(outcome.max_load <= 18);
   CHECK(outcome.refused > 0);
   // The requests sent are those that the limits allow, within a tenth.
-  const double sent_a_second = outcome.sent / 8.2;
-  CHECK(sent_a_second > 0.9 * 6 * 17 / 0.06);
+  const double sent_per_second = outcome.sent / 8.2;
+  CHECK(sent_per_second > 0.9 * 6 * 17 / 0.06);
 }
 
 TEST_CASE("Model engines under high load stay at their slot limits, and prefixes at few homes") {
--- a/tests/unit/core/relay/relay_addresses_test.cc
+++ b/tests/unit/core/relay/relay_addresses_test.cc
@@ -55,10 +55,9 @@
   add(list, "a1", "a");
   add(list, "a2", "a");
   add(list, "b1", "b");
-  const relay::AddressQuery question{.zone = "a", .own_address = "a1", .confirmed_recently = false};
-  CHECK(relay::selectAddresses(list, kZones, question) == std::vector<std::string>{"a2", "b1"});
-  CHECK(relay::selectAddresses(v1::RelayList(), kZones, question) ==
-        std::vector<std::string>{"a1"});
+  const relay::AddressQuery query{.zone = "a", .own_address = "a1", .confirmed_recently = false};
+  CHECK(relay::selectAddresses(list, kZones, query) == std::vector<std::string>{"a2", "b1"});
+  CHECK(relay::selectAddresses(v1::RelayList(), kZones, query) == std::vector<std::string>{"a1"});
 }
 
 TEST_CASE("Of many relays a limited number is returned, and the draw selects which") {
@@ -66,11 +65,11 @@
   for (int i = 0; i < 300; ++i) {
     add(list, "r" + std::to_string(i), "a");
   }
-  relay::AddressQuery question{.zone = "a", .own_address = "r0", .draw = 1};
-  const std::vector<std::string> first = relay::selectAddresses(list, kZones, question);
+  relay::AddressQuery query{.zone = "a", .own_address = "r0", .draw = 1};
+  const std::vector<std::string> first = relay::selectAddresses(list, kZones, query);
   CHECK(std::set<std::string>(first.begin(), first.end()).size() == 64);
-  question.draw = 2;
-  CHECK(relay::selectAddresses(list, kZones, question) != first);
+  query.draw = 2;
+  CHECK(relay::selectAddresses(list, kZones, query) != first);
 }
 
 TEST_CASE("Callers may cache addresses for longer while relays are silent") {
--- a/tests/unit/core/relay/rollout_analysis_test.cc
+++ b/tests/unit/core/relay/rollout_analysis_test.cc
@@ -190,9 +190,9 @@
     relay::RolloutAnalysis analysis(rollout, 0, 0);
     std::optional<v1::RolloutPhase> phase;
     for (int64_t now_ms = 0; now_ms <= kDurationMs && !phase; now_ms += kStepMs) {
-      relay::RolloutConditions situation = rest;
-      situation.now_ms = now_ms;
-      phase = analysis.decide(v1::ROLLOUT_CANARY, situation);
+      relay::RolloutConditions conditions = rest;
+      conditions.now_ms = now_ms;
+      phase = analysis.decide(v1::ROLLOUT_CANARY, conditions);
     }
     return phase;
   };
--- a/tests/unit/core/relay/rollout_gate_test.cc
+++ b/tests/unit/core/relay/rollout_gate_test.cc
@@ -164,9 +164,9 @@
     "A version that only this relay has read from the platform is used if there is no other") {
   relay::RunnerTable table(relay::RunnerTableOptions{});
   table.setList(runnersOf({"v1", "v1"}), 0);
-  v1::RunnerList read_here = runnersOf({"v1", "v1", "v2"});
-  read_here.set_version(0);
-  table.setList(read_here, 0);
+  v1::RunnerList read_from_platform = runnersOf({"v1", "v1", "v2"});
+  read_from_platform.set_version(0);
+  table.setList(read_from_platform, 0);
   for (uint64_t draw = 0; draw < 50; ++draw) {
     CHECK(versionChosen(table, false, draw) == "v1");
   }
--- a/tests/unit/core/relay/runner_crash_monitor_test.cc
+++ b/tests/unit/core/relay/runner_crash_monitor_test.cc
@@ -61,13 +61,13 @@
 
 TEST_CASE("A runner that repeatedly breaks off responses is probed at a limited rate") {
   RunnerCrashMonitor monitor;
-  int looks = 0;
+  int probes = 0;
   for (int64_t now_ms = 1000; now_ms < 6000; now_ms += 10) {
-    looks += monitor.recordDisconnect(kRunner, request(static_cast<uint64_t>(now_ms)), now_ms) ==
-             AfterDisconnect::Probe;
+    probes += monitor.recordDisconnect(kRunner, request(static_cast<uint64_t>(now_ms)), now_ms) ==
+              AfterDisconnect::Probe;
     monitor.recordListening(kRunner);
   }
-  CHECK(looks <= 11);
+  CHECK(probes <= 11);
 }
 
 TEST_CASE("A report is sent once on a link, and again on the next one") {
--- a/tests/unit/core/relay/runner_incarnation_test.cc
+++ b/tests/unit/core/relay/runner_incarnation_test.cc
@@ -111,16 +111,16 @@
   const auto* positions = history.positionsFrom(1);
   REQUIRE(positions != nullptr);
   CHECK_FALSE((*positions)[0].has_value());
-  const auto taken = relay::applyUpdate(listOf(1, 5000), update);
-  REQUIRE_FALSE(isError(taken));
-  REQUIRE(std::get<v1::RunnerList>(taken).runners_size() == 1);
-  CHECK(std::get<v1::RunnerList>(taken).runners(0).born_ms() == 9000);
-  relay::LeaderRunnerList led;
+  const auto applied = relay::applyUpdate(listOf(1, 5000), update);
+  REQUIRE_FALSE(isError(applied));
+  REQUIRE(std::get<v1::RunnerList>(applied).runners_size() == 1);
+  CHECK(std::get<v1::RunnerList>(applied).runners(0).born_ms() == 9000);
+  relay::LeaderRunnerList leader_list;
   relay::LeaderVersions versions;
   versions.begin(1);
-  led.begin(versions, 0);
-  led.updateAsLeader(listOf(0, 5000), versions);
-  CHECK(led.updateAsLeader(listOf(0, 9000), versions) == relay::ListChange::Runners);
+  leader_list.begin(versions, 0);
+  leader_list.updateAsLeader(listOf(0, 5000), versions);
+  CHECK(leader_list.updateAsLeader(listOf(0, 9000), versions) == relay::ListChange::Runners);
 }
 
 TEST_CASE("Of several entries with one id the one of the latest process is used, else the first") {
--- a/tests/unit/core/relay/runner_table_test.cc
+++ b/tests/unit/core/relay/runner_table_test.cc
@@ -195,9 +195,9 @@
 
 TEST_CASE("Relays with the same load totals fill a busy runner to its limit and no further") {
   constexpr size_t kRelays = 10;
-  constexpr uint32_t kPlaces = 48;
+  constexpr uint32_t kSlots = 48;
   v1::RunnerList list = listOf(1, 7);
-  list.mutable_runners(0)->set_slots(kPlaces);
+  list.mutable_runners(0)->set_slots(kSlots);
   uint32_t before = 0;
   SUBCASE("some slots are free") { before = 33; }
   SUBCASE("few slots are free") { before = 45; }
@@ -216,7 +216,7 @@
       table->beginAttempt(*table->runners()[0], 1000);
     }
     // Before these totals as many requests arrive as in the rounds below.
-    for (int asked = 0; asked < 4; ++asked) {
+    for (int sent = 0; sent < 4; ++sent) {
       (void)table->choose(makeRequest(42));
     }
     table->setLoadTotals(totals, table->ownLoads(1000), 1000);
@@ -237,8 +237,8 @@
     total += table->runners()[0]->in_progress;
   }
   // Because of the random draws, the result may differ a little from the number of free slots.
-  CHECK(total <= std::max(before, kPlaces + static_cast<uint32_t>(kRelays)));
-  CHECK(total >= std::min(before, kPlaces - 6));
+  CHECK(total <= std::max(before, kSlots + static_cast<uint32_t>(kRelays)));
+  CHECK(total >= std::min(before, kSlots - 6));
 }
 
 TEST_CASE("The state of a runner survives a new list") {
