--- a/src/adapters/http/blocking_client.cc
+++ b/src/adapters/http/blocking_client.cc
@@ -62,16 +62,16 @@
 }
 
 Result<std::string> blockingGet(const std::string& address, const std::string& target) {
-  const auto response = blockingCall(address, Verb::get, target, "", {});
-  if (isError(response)) {
-    return errorOf(response);
+  const auto result = blockingCall(address, Verb::get, target, "", {});
+  if (isError(result)) {
+    return errorOf(result);
   }
-  const auto& answer = std::get<Response>(response);
-  if (answer.result() != Status::ok) {
-    return Error{address + " answered " + std::to_string(answer.result_int()) + ": " +
-                 answer.body()};
+  const auto& response = std::get<Response>(result);
+  if (response.result() != Status::ok) {
+    return Error{address + " answered " + std::to_string(response.result_int()) + ": " +
+                 response.body()};
   }
-  return answer.body();
+  return response.body();
 }
 
 } // namespace workshatch::http
--- a/src/adapters/http/http_server.h
+++ b/src/adapters/http/http_server.h
@@ -82,8 +82,9 @@
   void closeAfterResponse() { keep_alive_ = false; }
   /// Resets the connection (RST) at once. Bytes that the client has not received may be lost.
   void abort();
-  /// Closes the connection without the end of a streamed response, so that the client sees that the
-  /// response is incomplete. Bytes already written are delivered; buffered ones are dropped.
+  /// Stops a streamed response. The connection is closed when the handler returns, without the end
+  /// of the response, so that the client sees that it is incomplete. Bytes already written are
+  /// delivered; buffered ones are dropped.
   void closeIncomplete();
 
   /// Whether the client has closed its connection.
@@ -145,11 +146,12 @@
   /// chooses the port.
   Result<std::string> listen(const std::string& address);
 
-  /// Stops accepting connections. Requests in progress continue.
+  /// Stops accepting connections. Requests in progress continue. Open connections are closed after
+  /// the response to their next request.
   void stopAccepting();
   /// Closes idle connections.
   void closeIdle();
-  /// From now on connections are closed after their next response.
+  /// From now on connections are closed after the response to their next request.
   void closeConnections() { closing_ = true; }
 
   /// Number of requests whose handler is running.
--- a/src/adapters/http/runner_connection.cc
+++ b/src/adapters/http/runner_connection.cc
@@ -58,7 +58,7 @@
                    .refused = error == asio::error::connection_refused};
 }
 
-void RunnerConnection::startReadTimer(std::chrono::milliseconds timeout) {
+void RunnerConnection::startTimer(std::chrono::milliseconds timeout) {
   ++timeout_generation_;
   if (timeout.count() == 0) {
     timer_.cancel();
@@ -80,9 +80,9 @@
 RunnerConnection::connect(const asio::ip::tcp::endpoint& endpoint,
                           std::chrono::milliseconds timeout) {
   const auto self = shared_from_this();
-  startReadTimer(timeout);
+  startTimer(timeout);
   const auto [error] = co_await socket_.async_connect(endpoint, kAwait);
-  startReadTimer({});
+  startTimer({});
   if (error || closed_) {
     close();
     co_return makeError(CallPhase::NotSent, error);
@@ -106,12 +106,12 @@
     self->request_sent_ = !error;
     std::string().swap(self->request_);
   });
-  startReadTimer(timeout);
+  startTimer(timeout);
   while (true) {
     const auto [error, bytes] =
         co_await beast::http::async_read_header(socket_, buffer_, *parser_, kAwait);
     if (error || closed_) {
-      startReadTimer({});
+      startTimer({});
       co_return makeError(CallPhase::Sent, error);
     }
     if (parser_->get().result_int() != static_cast<unsigned>(Status::continue_)) {
@@ -121,7 +121,7 @@
     parser_->header_limit(kHeaderBytes);
     parser_->body_limit(boost::none);
   }
-  startReadTimer({});
+  startTimer({});
   co_return std::nullopt;
 }
 
@@ -133,9 +133,9 @@
     parser_->get().body().data = part.data();
     parser_->get().body().size = part.size();
     parser_->get().body().more = true;
-    startReadTimer(timeout);
+    startTimer(timeout);
     auto [error, bytes] = co_await beast::http::async_read_some(socket_, buffer_, *parser_, kAwait);
-    startReadTimer({});
+    startTimer({});
     if (error == beast::http::error::need_buffer) {
       error = {};
     }
--- a/src/adapters/http/runner_connection.h
+++ b/src/adapters/http/runner_connection.h
@@ -63,7 +63,7 @@
 private:
   /// Closes the connection after the given time unless the timer is restarted; zero stops the
   /// timer.
-  void startReadTimer(std::chrono::milliseconds timeout);
+  void startTimer(std::chrono::milliseconds timeout);
   CallError makeError(CallPhase phase, boost::system::error_code error) const;
 
   boost::asio::ip::tcp::socket socket_;
--- a/src/adapters/logging/line_log.h
+++ b/src/adapters/logging/line_log.h
@@ -19,8 +19,8 @@
 /// Buffers one line with time, process, role, `event` and the members of `fields`.
 void write(std::string_view event, const nlohmann::json& fields);
 
-/// Writes as many lines as is possible without blocking. The event loop calls it every few
-/// milliseconds.
+/// Writes as many lines as is possible without blocking. LogFlusher calls it periodically on an
+/// event loop.
 void flush();
 
 /// @return the number of lines dropped since the start because the buffer was full.
--- a/src/adapters/program.h
+++ b/src/adapters/program.h
@@ -9,7 +9,8 @@
 /// Exit codes of all programs.
 enum ExitCode {
   kExitOk = 0,
-  /// Failure that a retry may overcome.
+  /// Failure that a retry may overcome. Also a difference found by `diff`, or no line found by
+  /// `trace`.
   kExitFailure = 1,
   /// Bad flags, settings or declarations.
   kExitUsage = 2,
--- a/src/adapters/settings/relay_settings.h
+++ b/src/adapters/settings/relay_settings.h
@@ -15,12 +15,19 @@
 /// Limits that the fleet guarantees, set by the operators of the platform. They are the members of
 /// "bounds" in the settings file, which gives the durations in milliseconds or seconds.
 struct RelayBounds {
+  /// Time after which no relay accepts a revoked key any more.
   int64_t revoked_key_ms = 5000;
+  /// Time within which all processes must know of a leaving runner.
   int64_t leaving_runner_ms = 3000;
+  /// Limit on the duration of a planned stop.
   int64_t stop_ms = 8000;
+  /// Retry budget: retries allowed for each first attempt in any window.
   double repeat_ratio = 0.2;
   int64_t repeat_window_ms = 10'000;
+  /// Retries allowed beyond the ratio in each window, over all relays.
   double repeat_slack = 64;
+  /// The limit on the load of a runner is this multiple of the mean load of its service, plus a
+  /// small slack.
   double load_cap_factor = 2;
   /// Limit on the requests that reach a cold runner in any second: this multiple of the rate that
   /// the configuration of its service states as sustainable, plus the slack.
@@ -50,6 +57,7 @@
   uint16_t link_port = 0;
   /// Operator addresses of some group replicas.
   std::vector<std::string> seeds;
+  /// Whether the whole system starts for the first time, with empty disks.
   bool first_start = false;
   std::string data_folder;
   std::string runner_list_address;
--- a/tests/unit/adapters/framed_link_test.cc
+++ b/tests/unit/adapters/framed_link_test.cc
@@ -30,9 +30,9 @@
   size_t bytes = 0;
   bool closed = false;
   const std::string address = "127.0.0.1:18231";
-  const auto listening = listener.listen(address, [&](std::shared_ptr<link::FramedLink> taken) {
-    accepted.push_back(taken);
-    taken->start(
+  const auto listening = listener.listen(address, [&](std::shared_ptr<link::FramedLink> inbound) {
+    accepted.push_back(inbound);
+    inbound->start(
         [&](const v1::Frame& frame) {
           versions.push_back(frame.lease().configuration().version());
           bytes += frame.lease().configuration().compressed_literals().size();
--- a/tests/unit/adapters/http_server_test.cc
+++ b/tests/unit/adapters/http_server_test.cc
@@ -39,9 +39,9 @@
     socket.connect(*http::parseEndpoint(address_));
     boost::system::error_code failure;
     asio::write(socket, asio::buffer(bytes), failure);
-    std::string answer;
-    asio::read(socket, asio::dynamic_buffer(answer), failure);
-    return answer.substr(0, answer.find("\r\n"));
+    std::string response;
+    asio::read(socket, asio::dynamic_buffer(response), failure);
+    return response.substr(0, response.find("\r\n"));
   }
 
 private:
@@ -84,10 +84,10 @@
   slow.connect(*http::parseEndpoint(server.address()));
   asio::write(slow, asio::buffer(std::string("GET / HTTP/1.1\r\nHo")));
   CHECK(std::get<std::string>(http::blockingGet(server.address(), "/")) == "ok");
-  std::string answer;
+  std::string response;
   boost::system::error_code failure;
-  asio::read(slow, asio::dynamic_buffer(answer), failure);
-  CHECK(answer.substr(0, answer.find("\r\n")) == "HTTP/1.1 408 Request Timeout");
+  asio::read(slow, asio::dynamic_buffer(response), failure);
+  CHECK(response.substr(0, response.find("\r\n")) == "HTTP/1.1 408 Request Timeout");
 }
 
 TEST_CASE("a call that fails on an idle connection counts as sent, also if reconnecting fails") {
@@ -121,8 +121,8 @@
       http::Request request(http::Verb::get, "/", 11);
       const http::CallOptions options;
       http::CallResult result = co_await client.call(address, std::move(request), options);
-      if (auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
-        co_await (*answer)->readAll(100);
+      if (auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
+        co_await (*response)->readAll(100);
       } else {
         errors.push_back(std::get<http::CallError>(result));
       }
--- a/tests/unit/adapters/replica_transport_test.cc
+++ b/tests/unit/adapters/replica_transport_test.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kAnswerDelay{200};
+constexpr std::chrono::milliseconds kReplyDelay{200};
 
 /// A replica that replies to Hello after a delay.
 class SlowPeer : public v1::ControlPeer::Service {
@@ -36,7 +36,7 @@
 
   grpc::Status Hello(grpc::ServerContext*, const v1::HelloRequest*, v1::HelloReply*) override {
     hello_received_ = true;
-    std::this_thread::sleep_for(kAnswerDelay);
+    std::this_thread::sleep_for(kReplyDelay);
     return grpc::Status::OK;
   }
 
@@ -54,15 +54,15 @@
   SlowPeer peer;
   auto transport =
       std::make_unique<rpc::GrpcReplicaTransport>("127.0.0.1:1", "key", AddressOverrides());
-  const auto answers = std::make_shared<std::atomic<int>>(0);
-  transport->sendHello(peer.address(), 1, [answers](const v1::HelloReply&) { ++*answers; });
+  const auto replies = std::make_shared<std::atomic<int>>(0);
+  transport->sendHello(peer.address(), 1, [replies](const v1::HelloReply&) { ++*replies; });
   REQUIRE(waitUntil([&] { return peer.helloReceived(); }));
 
   transport.reset();
-  const int answers_at_the_end = *answers;
+  const int replies_at_destruction = *replies;
   // The callback holds its copy of the counter until the call is destroyed.
-  REQUIRE(waitUntil([&] { return answers.use_count() == 1; }));
-  CHECK(*answers == answers_at_the_end);
+  REQUIRE(waitUntil([&] { return replies.use_count() == 1; }));
+  CHECK(*replies == replies_at_destruction);
 }
 
 } // namespace workshatch::test
