--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -61,9 +61,9 @@
   return kExitUsage;
 }
 
-int printFaults(const settings::ValidationErrors& faults) {
-  for (const settings::ValidationError& fault : faults) {
-    std::fprintf(stderr, "%s\n", settings::describe(fault).c_str());
+int printErrors(const settings::ValidationErrors& errors) {
+  for (const settings::ValidationError& error : errors) {
+    std::fprintf(stderr, "%s\n", settings::describe(error).c_str());
   }
   return kExitUsage;
 }
@@ -149,8 +149,8 @@
 
 int runCheck(const std::string& folder) {
   const auto loaded = settings::loadDeclarations(folder);
-  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
-    return printFaults(*faults);
+  if (const auto* errors = std::get_if<settings::ValidationErrors>(&loaded)) {
+    return printErrors(*errors);
   }
   std::printf("%s: no faults\n", folder.c_str());
   return kExitOk;
@@ -158,8 +158,8 @@
 
 int runApply(const std::string& folder) {
   const auto loaded = settings::loadDeclarations(folder);
-  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
-    return printFaults(*faults);
+  if (const auto* errors = std::get_if<settings::ValidationErrors>(&loaded)) {
+    return printErrors(*errors);
   }
   rpc::OperatorClient client = makeClient();
   v1::ApplyRequest request;
@@ -181,8 +181,8 @@
 
 int runDiff(const std::string& folder) {
   const auto loaded = settings::loadDeclarations(folder);
-  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
-    return printFaults(*faults);
+  if (const auto* errors = std::get_if<settings::ValidationErrors>(&loaded)) {
+    return printErrors(*errors);
   }
   const auto current = makeClient().get();
   if (isError(current)) {
@@ -261,8 +261,8 @@
     std::printf("%s\n", text.c_str());
     return kExitOk;
   }
-  const json answer = json::parse(text, nullptr, false);
-  for (const json& endpoint : answer.value("endpoints", json::array())) {
+  const json response = json::parse(text, nullptr, false);
+  for (const json& endpoint : response.value("endpoints", json::array())) {
     std::printf("%s %s\n", endpoint.value("address", "").c_str(),
                 endpoint.value("zone", "").c_str());
   }
