--- a/src/scenario/command_options.h
+++ b/src/scenario/command_options.h
@@ -10,9 +10,9 @@
 
 namespace workshatch::scenario {
 
-/// How long an operator call searches for the leader.
+/// Timeout of an operator call, which includes the search for the leader.
 inline constexpr int64_t kOperatorTimeoutMs = 30'000;
-/// The same timeout for calls that are repeated until a condition holds.
+/// Timeout of an operator call that is repeated until a condition holds.
 inline constexpr int64_t kStatusTimeoutMs = 1000;
 
 /// Result of a command that succeeded.
--- a/src/scenario/invariants.h
+++ b/src/scenario/invariants.h
@@ -26,7 +26,7 @@
   std::vector<AcceptedChange> accepted;
 };
 
-/// ScenarioCounts for the summary of the scenario.
+/// Counts for the summary of the scenario.
 struct ScenarioCounts {
   uint64_t runs = 0;
   uint64_t completed = 0;
--- a/src/scenario/load_generator.cc
+++ b/src/scenario/load_generator.cc
@@ -151,7 +151,7 @@
 asio::awaitable<std::string> LoadGenerator::chooseAddress(const std::string& service,
                                                           const std::string& session,
                                                           uint32_t attempt) {
-  // Any router can resolve the address. If one does not respond, the next is chosen at random.
+  // Any router can resolve the address. Routers are chosen at random until one returns an address.
   std::string router;
   for (size_t query = 0; query < 2 * routers_.size(); ++query) {
     router = routers_[random_.below(routers_.size())];
--- a/src/scenario/operator_load.h
+++ b/src/scenario/operator_load.h
@@ -1,5 +1,6 @@
 /// @file
-/// Load generator of operator calls to all control replicas, including stopping ones.
+/// Load generator that sends operator calls to all control replicas, including those that are
+/// shutting down.
 #pragma once
 
 #include <atomic>
--- a/src/scenario/scenario_operators.cc
+++ b/src/scenario/scenario_operators.cc
@@ -12,22 +12,22 @@
 
 ScenarioRun::Outcome ScenarioRun::applyOnce(const v1::ApplyRequest& request,
                                             const std::string& expected) {
-  const auto reply = operatorClient(kOperatorTimeoutMs)->apply(request);
-  if (isError(reply)) {
-    return errorOf(reply);
-  }
-  const auto& answer = std::get<v1::ApplyReply>(reply);
-  const std::string state = answer.state() == v1::APPLY_ACCEPTED   ? "accepted"
-                            : answer.state() == v1::APPLY_PENDING  ? "pending"
-                            : answer.state() == v1::APPLY_CONFLICT ? "conflict"
-                                                                   : "other";
+  const auto result = operatorClient(kOperatorTimeoutMs)->apply(request);
+  if (isError(result)) {
+    return errorOf(result);
+  }
+  const auto& reply = std::get<v1::ApplyReply>(result);
+  const std::string state = reply.state() == v1::APPLY_ACCEPTED   ? "accepted"
+                            : reply.state() == v1::APPLY_PENDING  ? "pending"
+                            : reply.state() == v1::APPLY_CONFLICT ? "conflict"
+                                                                  : "other";
   if (state == "accepted") {
-    accepted_.push_back(AcceptedChange{.revision = answer.revision(),
+    accepted_.push_back(AcceptedChange{.revision = reply.revision(),
                                        .at_ms = static_cast<int64_t>(SystemClock().wallMs())});
   }
   if (state != expected) {
     return Error{"expected " + expected + ", got " + state + " at revision " +
-                 std::to_string(answer.revision())};
+                 std::to_string(reply.revision())};
   }
   return kDone;
 }
@@ -118,10 +118,10 @@
   const auto& first_replies = std::get<std::vector<v1::ApplyReply>>(first);
   const auto winners =
       std::count_if(first_replies.begin(), first_replies.end(),
-                    [](const auto& answer) { return answer.state() == v1::APPLY_ACCEPTED; });
+                    [](const auto& reply) { return reply.state() == v1::APPLY_ACCEPTED; });
   const auto losers =
       std::count_if(first_replies.begin(), first_replies.end(),
-                    [](const auto& answer) { return answer.state() == v1::APPLY_CONFLICT; });
+                    [](const auto& reply) { return reply.state() == v1::APPLY_CONFLICT; });
   if (winners != 1 || losers + 1 != static_cast<int64_t>(operators)) {
     return Error{"expected one accepted change and conflicts for the others, got " +
                  std::to_string(winners) + " accepted and " + std::to_string(losers) +
--- a/src/scenario/scenario_processes.cc
+++ b/src/scenario/scenario_processes.cc
@@ -155,10 +155,10 @@
   for (const auto& [name, value] : command.options) {
     members[name] = json::parse(value);
   }
-  const auto answer = http::blockingCall(fleet_->runnerAddress(command.arguments[0]),
-                                         http::Verb::post, "/fault", members.dump(), {});
-  if (isError(answer)) {
-    return errorOf(answer);
+  const auto response = http::blockingCall(fleet_->runnerAddress(command.arguments[0]),
+                                           http::Verb::post, "/fault", members.dump(), {});
+  if (isError(response)) {
+    return errorOf(response);
   }
   return kDone;
 }
@@ -169,19 +169,19 @@
   }
   if (command.arguments[0] == "lag") {
     const std::string body = "{\"lag_ms\":" + std::to_string(numberOption(command, "ms", 0)) + "}";
-    const auto answer =
+    const auto response =
         http::blockingCall(fleet_->platformAddress(), http::Verb::put, "/lag", body, {});
-    return isError(answer) ? Outcome(errorOf(answer)) : Outcome(kDone);
+    return isError(response) ? Outcome(errorOf(response)) : Outcome(kDone);
   }
   const std::string state = textOption(command, "state", "leaving");
   if (cap_sampler_) {
     cap_sampler_->setLeaving(fleet_->runnerAddress(command.arguments[0]), state != "live");
   }
   const auto verb = state == "gone" ? http::Verb::delete_ : http::Verb::put;
-  const auto answer =
+  const auto response =
       http::blockingCall(fleet_->platformAddress(), verb, "/v1/machines/" + command.arguments[0],
                          json({{"state", state}}).dump(), {});
-  return isError(answer) ? Outcome(errorOf(answer)) : Outcome(kDone);
+  return isError(response) ? Outcome(errorOf(response)) : Outcome(kDone);
 }
 
 } // namespace workshatch::scenario
