--- a/bench/main.cc
+++ b/bench/main.cc
@@ -63,12 +63,12 @@
     const http::CallOptions options;
     const auto started = SteadyClock::now();
     http::CallResult result = co_await client.call(endpoint.address, std::move(request), options);
-    auto* answer = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
-    if (answer == nullptr || (*answer)->status() != http::Status::ok) {
+    auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result);
+    if (response == nullptr || (*response)->status() != http::Status::ok) {
       ++measurement.failed;
       continue;
     }
-    co_await (*answer)->readAll(1U << 20U);
+    co_await (*response)->readAll(1U << 20U);
     measurement.micros.push_back(microsSince(started));
   }
 }
