--- a/src/daemon/open_calls.h
+++ b/src/daemon/open_calls.h
@@ -23,8 +23,8 @@
 template <typename Reply> using CallCallback = std::function<void(CallOutcome<Reply>)>;
 template <typename Reply> using ReplyCallback = std::function<void(Reply)>;
 
-/// Numbers of calls since the start of the process. The first count is the sum of the other two and
-/// of the calls that are still open.
+/// Numbers of calls since the start of the process. `accepted` is the sum of `answered`, `refused`
+/// and the calls that are still open.
 struct CallCounts {
   uint64_t accepted = 0;
   uint64_t answered = 0;
--- a/src/daemon/router/chat_run.h
+++ b/src/daemon/router/chat_run.h
@@ -46,7 +46,8 @@
     Done,
     /// The runner could not be reached or answered with a 5xx status.
     TryAnother,
-    /// The connection failed after the request was sent; the engine may still work on the request.
+    /// The connection failed after the request was sent, or the stream stalled or ended early. The
+    /// engine may still work on the request.
     Resume,
     CallerGone,
     /// The runner rejected the request; the error has been sent to the caller.
