--- a/src/daemon/relay/active_request.cc
+++ b/src/daemon/relay/active_request.cc
@@ -62,9 +62,9 @@
   state_.active_requests.insert(this);
   armDeadline();
   exchange_.onDisconnect([weak = weak_from_this()] {
-    if (const auto run = weak.lock()) {
-      run->caller_left_ = true;
-      run->interrupt();
+    if (const auto active_request = weak.lock()) {
+      active_request->caller_left_ = true;
+      active_request->interrupt();
     }
   });
   state_.budget.recordRequest(request_.service, request_.received_ms);
@@ -219,7 +219,7 @@
   co_return woken && !interrupted();
 }
 
-/// Takes an attempt that repeats the request from the retry budget; the first attempt needs none.
+/// Takes a retry from the retry budget if the request has been sent before.
 /// @return whether the attempt is allowed.
 bool ActiveRequest::takeRetryFromBudget() {
   if (sent_attempts_ == 0) {
--- a/src/daemon/relay/active_request.h
+++ b/src/daemon/relay/active_request.h
@@ -172,7 +172,7 @@
   bool stream_started_ = false;
   /// Attempts after which the runner may have run the request.
   uint32_t ran_attempts_ = 0;
-  /// Attempts in which the request was sent, and those that a full runner declined.
+  /// Attempts in which the request was sent, and how many of them the runner declined.
   uint32_t sent_attempts_ = 0;
   uint32_t declines_ = 0;
   /// Why the last search found no runner; nullopt if it found one.
--- a/src/daemon/relay/active_request_answer.cc
+++ b/src/daemon/relay/active_request_answer.cc
@@ -56,7 +56,7 @@
   const auto id = http::fieldOf(head, names.request_id);
   const bool not_run = http::fieldOf(head, names.not_run).has_value();
   if (id && *id != request_.id) {
-    // A late duplicate answer to an earlier request. No later data on this connection can be
+    // A late duplicate response to an earlier request. No later data on this connection can be
     // attributed to a request reliably.
     co_return broken("the response has the id of another request");
   }
@@ -159,14 +159,14 @@
 /// Starts the accounting of the bytes that are buffered for the caller.
 void ActiveRequest::trackReader() {
   reader_ = state_.read_ahead.open([weak = weak_from_this()] {
-    if (const auto run = weak.lock()) {
-      run->abortSlowReader();
+    if (const auto self = weak.lock()) {
+      self->abortSlowReader();
     }
   });
   exchange_.onBufferedBytesChange([weak = weak_from_this()] {
-    if (const auto run = weak.lock()) {
-      run->state_.read_ahead.update(run->reader_, run->exchange_.bufferedBytes(),
-                                    run->exchange_.writtenBytes());
+    if (const auto self = weak.lock()) {
+      self->state_.read_ahead.update(self->reader_, self->exchange_.bufferedBytes(),
+                                     self->exchange_.writtenBytes());
     }
   });
 }
--- a/src/daemon/relay/active_request_attempt.cc
+++ b/src/daemon/relay/active_request_attempt.cc
@@ -45,8 +45,8 @@
   state_.runners.recordActivity(runner, state_.clock.monotonicMs());
 }
 
-/// Processes what the headers of an answer report about the runner and about further requests to
-/// it.
+/// Applies the notice in the headers of a response: what the runner reports about its state and
+/// about further requests to it.
 void ActiveRequest::applyNotice(relay::Runner& runner) {
   const auto& head = connection_->head();
   notice_ = state_.dialect.parseRunnerNotice(
@@ -303,7 +303,8 @@
   return result;
 }
 
-/// Records whether the attempt is evidence that the request crashed its runner, or that it did not.
+/// Records evidence for or against a crash of the runner: that it closed or refused the connection,
+/// or that it completed the request.
 void ActiveRequest::recordForQuarantine(const relay::Runner& runner, const AttemptResult& result) {
   if (!state_.crash_reporter) {
     return;
--- a/src/daemon/relay/active_request_rollout.cc
+++ b/src/daemon/relay/active_request_rollout.cc
@@ -26,8 +26,8 @@
 }
 
 /// Records the outcome of an attempt for the version of its runner, while a rollout is in progress.
-/// Counts only attempts that were answered, or that failed without the caller's disconnection or a
-/// quarantine as the cause.
+/// Counts attempts that were answered and attempts that broke, except those that broke because the
+/// caller disconnected or the request was quarantined.
 void ActiveRequest::recordForRollout(const relay::Runner& runner, const AttemptResult& result) {
   const v1::Rollout* rollout = state_.runners.rollouts().findRollout(request_.service);
   const bool withdrawn = caller_left_ || quarantine_cancelled_;
--- a/src/daemon/relay/lease_wait.h
+++ b/src/daemon/relay/lease_wait.h
@@ -22,7 +22,7 @@
   explicit LeaseWait(boost::asio::io_context& context) : context_(context) {}
 
   /// Returns after `wakeAll` or after `longest`, whichever is first; immediately if the maximum
-  /// number of coroutines waits already.
+  /// number of coroutines are already waiting.
   boost::asio::awaitable<void> wait(std::chrono::milliseconds longest);
   /// Resumes all waiting coroutines; to be called when the lease is granted.
   void wakeAll();
--- a/src/daemon/relay/relay_lease.cc
+++ b/src/daemon/relay/relay_lease.cc
@@ -144,8 +144,8 @@
       completed_quarantined_.push_back(request);
     }
   }
-  for (ActiveRequest* run : state_.active_requests) {
-    run->cancelIfQuarantined();
+  for (ActiveRequest* active_request : state_.active_requests) {
+    active_request->cancelIfQuarantined();
   }
   line_log::write("quarantine_in_force", {{"version", list.version()},
                                           {"requests", std::move(requests)},
--- a/src/daemon/relay/relay_request.cc
+++ b/src/daemon/relay/relay_request.cc
@@ -73,8 +73,8 @@
                        .request_id = id};
 }
 
-/// @return the retry delay: the time without a lease so far, since the rest of an outage is
-/// expected to be about as long, within bounds.
+/// @return the retry delay: the time without a lease so far, within bounds. An outage is expected
+/// to last for about as long again as it has lasted.
 uint32_t retryWithoutLeaseMs(const RelayState& state, int64_t now_ms) {
   const int64_t silent_ms = state.lease.unconfirmedForMs(now_ms, state.started_ms);
   return static_cast<uint32_t>(
@@ -100,19 +100,19 @@
   if (!value) {
     return;
   }
-  const std::vector<PrefixBlock> parts = dialect.parsePrefixBlocks(*value);
+  const std::vector<PrefixBlock> blocks = dialect.parsePrefixBlocks(*value);
   constexpr size_t kSharedFromEnd = 2;
   uint64_t tokens = 0;
-  for (size_t i = 0; i + 1 < parts.size(); ++i) {
+  for (size_t i = 0; i + 1 < blocks.size(); ++i) {
     relayed.parent_tokens = tokens;
-    tokens += parts[i].tokens;
+    tokens += blocks[i].tokens;
     relayed.cached_tokens = tokens;
   }
-  if (parts.size() >= kSharedFromEnd) {
-    relayed.cache_key = routing::fingerprintOf(parts[parts.size() - kSharedFromEnd].id);
+  if (blocks.size() >= kSharedFromEnd) {
+    relayed.cache_key = routing::fingerprintOf(blocks[blocks.size() - kSharedFromEnd].id);
   }
-  if (parts.size() > kSharedFromEnd) {
-    relayed.parent_key = routing::fingerprintOf(parts[parts.size() - kSharedFromEnd - 1].id);
+  if (blocks.size() > kSharedFromEnd) {
+    relayed.parent_key = routing::fingerprintOf(blocks[blocks.size() - kSharedFromEnd - 1].id);
   }
 }
 
--- a/src/daemon/relay/relay_role.cc
+++ b/src/daemon/relay/relay_role.cc
@@ -35,9 +35,10 @@
 constexpr int64_t kOwnListPollMs = 1000;
 /// Minimum number of relays that is assumed when the platform's call rate is divided.
 constexpr size_t kMinAssumedReaders = 10;
-/// Random delay by which relays that read the list at the same time spread their calls.
+/// Maximum of the random delay by which relays that read the list at the same time spread their
+/// calls.
 constexpr uint64_t kOwnListJitterMs = 400;
-/// Time after the begin of a planned stop during which new requests are still accepted.
+/// Time after the start of a planned stop during which new requests are still accepted.
 constexpr std::chrono::milliseconds kAcceptWhileStopping{2800};
 /// Fraction of the time limit of a planned stop after which requests in progress are abandoned.
 constexpr double kStopFraction = 0.93;
@@ -169,9 +170,9 @@
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  const auto run = std::make_shared<ActiveRequest>(context_, state_, exchange,
-                                                   std::move(std::get<RelayRequest>(admitted)));
-  co_await run->run();
+  const auto active_request = std::make_shared<ActiveRequest>(
+      context_, state_, exchange, std::move(std::get<RelayRequest>(admitted)));
+  co_await active_request->run();
 }
 
 bool RelayRole::ready() const {
@@ -256,8 +257,8 @@
     return;
   }
   line_log::write("awake", {{"lease_age_ms", state_.lease.ageMs(now_ms)}});
-  for (ActiveRequest* run : state_.active_requests) {
-    run->checkDeadline();
+  for (ActiveRequest* active_request : state_.active_requests) {
+    active_request->checkDeadline();
   }
   control_.renewNow();
 }
--- a/src/daemon/relay/relay_stats.h
+++ b/src/daemon/relay/relay_stats.h
@@ -24,7 +24,7 @@
   /// Work time factors reported by runners: plausible ones, and rejected ones.
   uint64_t work_times_reported = 0;
   uint64_t work_times_rejected = 0;
-  /// Answers in which a runner requested a backoff, requested one with an unreadable time, or
+  /// Responses in which a runner requested a backoff, requested one with an unreadable time, or
   /// announced that it is leaving.
   uint64_t backoffs_requested = 0;
   uint64_t backoffs_rejected = 0;
@@ -35,7 +35,7 @@
   metrics::DurationHistogram event_gap;
   metrics::DurationHistogram answer;
 
-  /// Counts the notices in the headers of a runner's answer.
+  /// Counts the notices in the headers of a runner's response.
   void recordNotice(const relay::RunnerNotice& notice);
 
   /// Appends all metrics in the Prometheus text format.
--- a/src/daemon/relay/slot_client.h
+++ b/src/daemon/relay/slot_client.h
@@ -68,8 +68,8 @@
 /// Claims slots from their owners, answers the claims of other relays, and reports to the owners
 /// how many slots this relay uses. Lives on the relay's event loop; not safe for concurrent use.
 ///
-/// Guarantee: a failure of this protocol never prevents a request from being served; without an
-/// answer the caller can decide by the load totals that the leader distributes.
+/// Guarantee: a failure of this protocol never prevents a request from being served. If an owner
+/// does not answer, the relay can decide by the load totals that the leader distributes.
 class SlotClient : public std::enable_shared_from_this<SlotClient> {
 public:
   /// Looks up a runner, by fingerprint, in this relay's own tables.
