--- a/tests/unit/daemon/control/control_stop_test.cc
+++ b/tests/unit/daemon/control/control_stop_test.cc
@@ -124,10 +124,10 @@
   machine->start();
   TestOperator first;
   REQUIRE(waitUntil([&] { return first.isServed(); }));
-  const uint64_t taken_before = machine->replica->callCounts().accepted;
+  const uint64_t accepted_before = machine->replica->callCounts().accepted;
   machine->disk.full = true;
   auto change = std::async(std::launch::async, [] { return TestOperator().apply(2 * kStopLimit); });
-  REQUIRE(waitUntil([&] { return machine->replica->callCounts().accepted > taken_before; }));
+  REQUIRE(waitUntil([&] { return machine->replica->callCounts().accepted > accepted_before; }));
 
   REQUIRE(endsInTime([machine] { machine->stop(); }));
   // The change is not acknowledged, so that the operator retries it at another replica.
@@ -157,10 +157,10 @@
   machine->start();
   TestOperator first;
   REQUIRE(waitUntil([&] { return first.isServed(); }));
-  const uint64_t taken_before = machine->replica->callCounts().accepted;
+  const uint64_t accepted_before = machine->replica->callCounts().accepted;
   machine->disk.hanging = true;
   auto change = std::async(std::launch::async, [] { return TestOperator().apply(2 * kStopLimit); });
-  REQUIRE(waitUntil([&] { return machine->replica->callCounts().accepted > taken_before; }));
+  REQUIRE(waitUntil([&] { return machine->replica->callCounts().accepted > accepted_before; }));
 
   std::atomic<bool> given_up{false};
   CHECK(endsInTime(
--- a/tests/unit/daemon/fleet/crashing_request_test.cc
+++ b/tests/unit/daemon/fleet/crashing_request_test.cc
@@ -3,8 +3,9 @@
 ///
 /// The failure: a caller repeated such a request every half second, with a new id and at another
 /// relay each time. The relays avoided runners that had failed, but did not recognize the request,
-/// so every repetition crashed a runner that still worked. 125 attempts crashed 28 runners; in a
-/// service of twelve runners sixteen crashed in a row, nine of them long after the third crash.
+/// so every repetition crashed a runner that still worked. 28 runners crashed, none of them twice,
+/// which broke 125 attempts. In a service with twelve runners at a time sixteen crashed in a row,
+/// and nine of the requests were sent long after the third crash.
 #include <atomic>
 #include <chrono>
 #include <functional>
--- a/tests/unit/daemon/fleet/rollout_test.cc
+++ b/tests/unit/daemon/fleet/rollout_test.cc
@@ -1,6 +1,7 @@
 /// @file
 /// Tests of rollouts on a complete system: the operator's order, working and failing runners of the
-/// new version, and the share of requests that each version gets.
+/// new version, and the share of requests that each version gets. The test of a leader's crash is
+/// named after the failure that it guards against.
 #include <atomic>
 #include <chrono>
 #include <string>
--- a/tests/unit/daemon/fleet/runner_notice_fleet_test.cc
+++ b/tests/unit/daemon/fleet/runner_notice_fleet_test.cc
@@ -1,6 +1,7 @@
 /// @file
 /// Tests that relays keep the notices of runners when processes restart and when the platform's
-/// list lacks the runners for a short time.
+/// list lacks the runners for a short time. The tests are named after the failures that they guard
+/// against.
 #include <chrono>
 #include <string>
 
--- a/tests/unit/daemon/fleet/test_fleet.h
+++ b/tests/unit/daemon/fleet/test_fleet.h
@@ -262,7 +262,7 @@
   /// Sends a request with a body of two bytes to a relay. @return the complete response.
   std::string sendRequest(size_t relay, const std::string& body, const std::string& key = "key-1") {
     // Each request has its own id.
-    const std::string id = "q" + std::to_string(++tries_);
+    const std::string id = "q" + std::to_string(++requests_sent_);
     return answerTo(requestText(CallerRequest{.id = id, .key = key, .body = body}),
                     callerAddress(relay));
   }
@@ -409,7 +409,7 @@
   ScriptedRunner list_;
   std::unique_ptr<Group> group_;
   std::vector<std::unique_ptr<Relay>> relays_;
-  std::atomic<uint64_t> tries_{0};
+  std::atomic<uint64_t> requests_sent_{0};
 };
 
 } // namespace workshatch::test
--- a/tests/unit/daemon/group/group_replica_test.cc
+++ b/tests/unit/daemon/group/group_replica_test.cc
@@ -216,7 +216,7 @@
   // Without a majority, the calls stay open.
   group.cutOff(leading, true);
   GroupReplica& replica = group.at(leading);
-  const CallOutcome<StoreOutcome> ends = daemon::Unavailable{};
+  const CallOutcome<StoreOutcome> refused = daemon::Unavailable{};
   std::vector<CallOutcome<StoreOutcome>> outcomes;
   const v1::GroupCommand order = evacuationOrder("north", true);
   replica.order(order, [&](const auto& outcome) { outcomes.push_back(outcome); });
@@ -229,11 +229,11 @@
   REQUIRE(reads_refused == 0);
 
   replica.end();
-  CHECK(outcomes == std::vector<CallOutcome<StoreOutcome>>{ends});
+  CHECK(outcomes == std::vector<CallOutcome<StoreOutcome>>{refused});
   CHECK(reads_refused == 1);
   replica.order(order, [&](const auto& outcome) { outcomes.push_back(outcome); });
   replica.read(count_refusal);
-  CHECK(outcomes == std::vector<CallOutcome<StoreOutcome>>{ends, ends});
+  CHECK(outcomes == std::vector<CallOutcome<StoreOutcome>>{refused, refused});
   CHECK(reads_refused == 2);
   const daemon::CallCounts counts = replica.callCounts();
   CHECK(counts.accepted == counts.answered + counts.refused);
--- a/tests/unit/daemon/group/lease_service_test.cc
+++ b/tests/unit/daemon/group/lease_service_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of the leader's service for relays over loopback links: confirmation of renewals and rate
-/// limit of pushed lists.
+/// Tests of the leader's service for relays over loopback links: confirmation of renewals and
+/// bandwidth limit of pushed lists.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -98,7 +98,7 @@
         [] {});
   })));
   std::vector<std::shared_ptr<link::FramedLink>> relays;
-  std::vector<int64_t> list_came_ms;
+  std::vector<int64_t> list_received_ms;
   size_t confirmed = 0;
   std::vector<std::unique_ptr<link::LinkDialer>> dialers;
   for (int i = 0; i < kRelays; ++i) {
@@ -109,7 +109,7 @@
                                [&](const v1::Frame& frame) {
                                  confirmed += frame.lease().confirmed() ? 1 : 0;
                                  if (frame.lease().has_runners()) {
-                                   list_came_ms.push_back(group.clock().monotonicMs());
+                                   list_received_ms.push_back(group.clock().monotonicMs());
                                  }
                                },
                                [] {});
@@ -130,9 +130,9 @@
     entry->set_address(std::to_string(random.next()));
   }
   service.updateRunnerList(list);
-  REQUIRE(group.runUntil([&] { return list_came_ms.size() == kRelays; }));
+  REQUIRE(group.runUntil([&] { return list_received_ms.size() == kRelays; }));
   // Each copy is about 10 KB, at 87 KB/s. All leases were confirmed before the push.
-  CHECK(list_came_ms.back() - list_came_ms.front() >= 150);
+  CHECK(list_received_ms.back() - list_received_ms.front() >= 150);
   for (const auto& relay : relays) {
     relay->close();
   }
--- a/tests/unit/daemon/group/redirect_role_test.cc
+++ b/tests/unit/daemon/group/redirect_role_test.cc
@@ -30,7 +30,7 @@
   RunningRole(const RunningRole&) = delete;
   RunningRole& operator=(const RunningRole&) = delete;
 
-  static std::string ask() {
+  static std::string sendCall() {
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket socket(context);
     socket.connect(*http::parseEndpoint(kOwnAddress));
@@ -56,16 +56,16 @@
 
 TEST_CASE("A machine without a disk redirects operators to the seeds in rotation, not to itself") {
   const RunningRole role({kOwnAddress, "10.0.0.1:90", "10.0.0.2:90"});
-  const std::string first = RunningRole::ask();
+  const std::string first = RunningRole::sendCall();
   CHECK(contains(first, "HTTP/1.1 307"));
   CHECK(contains(first, "Location: http://10.0.0.1:90/get?x=1\r\n"));
-  CHECK(contains(RunningRole::ask(), "Location: http://10.0.0.2:90/get?x=1\r\n"));
-  CHECK(contains(RunningRole::ask(), "Location: http://10.0.0.1:90/get?x=1\r\n"));
+  CHECK(contains(RunningRole::sendCall(), "Location: http://10.0.0.2:90/get?x=1\r\n"));
+  CHECK(contains(RunningRole::sendCall(), "Location: http://10.0.0.1:90/get?x=1\r\n"));
 }
 
 TEST_CASE("A machine without a disk that knows no replica answers 503 with Retry-After") {
   const RunningRole role({kOwnAddress});
-  const std::string answer = RunningRole::ask();
+  const std::string answer = RunningRole::sendCall();
   CHECK(contains(answer, "HTTP/1.1 503"));
   CHECK(contains(answer, "Retry-After:"));
 }
--- a/tests/unit/daemon/relay/active_request_test.cc
+++ b/tests/unit/daemon/relay/active_request_test.cc
@@ -1,6 +1,7 @@
 /// @file
 /// Tests of serving one request, from the view of its caller and of the runners: runs at most once,
-/// only complete responses, and correct refusals.
+/// only complete responses, and correct refusals. The test of invalid timeout headers is named
+/// after the failure that it guards against.
 #include <future>
 #include <memory>
 #include <vector>
--- a/tests/unit/daemon/relay/relay_fixture.h
+++ b/tests/unit/daemon/relay/relay_fixture.h
@@ -129,7 +129,7 @@
                                 const std::string& target_version) const override {
     return std::to_string(static_cast<int>(state)) + " " + target_version;
   }
-  /// Any value stands for two prompt parts, the first of which is shared.
+  /// Any value stands for two prefix blocks, the first of which is shared.
   std::vector<PrefixBlock> parsePrefixBlocks(std::string_view) const override {
     return {PrefixBlock{.id = "shared", .tokens = 1}, PrefixBlock{.id = "own", .tokens = 1}};
   }
@@ -332,9 +332,9 @@
       co_await exchange.respond(std::move(response));
       co_return;
     }
-    const auto run = std::make_shared<daemon::ActiveRequest>(
+    const auto active_request = std::make_shared<daemon::ActiveRequest>(
         workers_.context(0), state_, exchange, std::move(std::get<daemon::RelayRequest>(admitted)));
-    co_await run->run();
+    co_await active_request->run();
   }
 
   SuspendableClock clock_;
--- a/tests/unit/daemon/relay/runner_notice_test.cc
+++ b/tests/unit/daemon/relay/runner_notice_test.cc
@@ -1,5 +1,6 @@
 /// @file
 /// Tests of the notices in runners' response headers: backoffs and the announcement of leaving.
+/// Some tests are named after the failure that they guard against.
 #include <string>
 
 #include <doctest/doctest.h>
--- a/tests/unit/daemon/runner_list_reader_test.cc
+++ b/tests/unit/daemon/runner_list_reader_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Tests of the backoff of the runner list reader when the platform refuses its calls.
+/// Tests of the backoff of the runner list reader when the platform refuses its calls. The tests
+/// are named after the failures that they guard against.
 #include <string>
 
 #include <boost/asio/co_spawn.hpp>
