--- a/src/daemon/group/group_replica.cc
+++ b/src/daemon/group/group_replica.cc
@@ -115,8 +115,8 @@
   advanceMembership();
 }
 
-/// Makes `unwritten_` durable, then sends its messages and applies its entries. The order is
-/// required for correctness.
+/// Makes `unwritten_` durable, then sends its messages and applies its entries. Messages must not
+/// be sent and entries must not be applied before the write is durable.
 /// @return false if the disk write failed.
 bool GroupReplica::writeReady() {
   if (unwritten_->needsSync()) {
