--- a/src/daemon/relay/active_request_attempt.cc
+++ b/src/daemon/relay/active_request_attempt.cc
@@ -297,8 +297,7 @@
 /// Same as `broken`, for an error of the connection.
 ActiveRequest::AttemptResult ActiveRequest::brokenBy(const http::CallError& error) {
   const bool by_runner = !error.timed_out && !interrupted();
-  AttemptResult result =
-      broken(error.timed_out ? "no data within the silence timeout" : error.message);
+  AttemptResult result = broken(error.timed_out ? "silent" : error.message);
   result.closed_by_runner = by_runner;
   return result;
 }
