--- a/src/adapters/disk/file_log_store.cc
+++ b/src/adapters/disk/file_log_store.cc
@@ -25,7 +25,7 @@
   return Error{what + " " + path.string() + ": " + std::strerror(errno)};
 }
 
-std::string recordOf(const v1::RaftLogRecord& record) {
+std::string encodeRecord(const v1::RaftLogRecord& record) {
   std::string out;
   appendRecord(out, record.SerializeAsString());
   return out;
@@ -34,13 +34,13 @@
 std::string entryRecord(const v1::RaftEntry& entry) {
   v1::RaftLogRecord record;
   *record.mutable_entry() = entry;
-  return recordOf(record);
+  return encodeRecord(record);
 }
 
 std::string hardStateRecord(const v1::RaftHardState& hard_state) {
   v1::RaftLogRecord record;
   *record.mutable_hard_state() = hard_state;
-  return recordOf(record);
+  return encodeRecord(record);
 }
 
 Result<std::string> readFile(const std::filesystem::path& path) {
@@ -81,7 +81,8 @@
   return synced;
 }
 
-/// Replays records of the log file; the first entry is the base.
+/// Applies one record of the log file to the entries and the hard state read so far. The first
+/// entry is the base of the log; a truncation never removes it.
 void replay(const v1::RaftLogRecord& record, std::vector<v1::RaftEntry>& entries,
             v1::RaftHardState& hard_state) {
   switch (record.record_case()) {
@@ -218,8 +219,8 @@
     replay(record, entries, hard_state_);
   }
   raft::RaftLog log(std::move(std::get<v1::RaftSnapshot>(snapshot)), std::move(entries));
-  // A fresh file holds no torn tail and no records that were truncated.
-  if (auto rewritten = rewriteLog(log.withBase(), hard_state_); isError(rewritten)) {
+  // Rewriting the file removes a torn tail and entries that later records truncated.
+  if (auto rewritten = rewriteLog(log.entriesWithBase(), hard_state_); isError(rewritten)) {
     return errorOf(rewritten);
   }
   return raft::RaftRecovery{.hard_state = hard_state_, .log = std::move(log)};
@@ -249,7 +250,7 @@
   if (ready.truncate_from != 0) {
     v1::RaftLogRecord record;
     record.set_truncate_from(ready.truncate_from);
-    bytes += recordOf(record);
+    bytes += encodeRecord(record);
   }
   for (const v1::RaftEntry& entry : ready.entries) {
     bytes += entryRecord(entry);
@@ -265,7 +266,7 @@
     return stored;
   }
   hard_state_ = hard_state;
-  return rewriteLog(log.withBase(), hard_state);
+  return rewriteLog(log.entriesWithBase(), hard_state);
 }
 
 Result<std::monostate> FileLogStore::rewriteLog(const std::vector<v1::RaftEntry>& entries,
@@ -299,9 +300,10 @@
   }
   if (!writeAll(log_file_, bytes) || ::fdatasync(log_file_) != 0) {
     const Error error = systemError("cannot write", folder_ / kLogName);
-    // Drops a part that was written, so that a later record does not stand behind damage.
+    // Removes a partially written record. A later record behind it would turn it from a torn tail
+    // into damage in the middle of the log, with which the replica refuses to start.
     if (::ftruncate(log_file_, static_cast<off_t>(log_size_)) != 0) {
-      return Error{error.message + "; the part written cannot be removed"};
+      return Error{error.message + "; cannot truncate the partially written record"};
     }
     return error;
   }
--- a/src/adapters/http/simple_get.cc
+++ b/src/adapters/http/blocking_client.cc
@@ -1,4 +1,4 @@
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 
 #include <chrono>
 
@@ -16,7 +16,8 @@
 
 constexpr std::chrono::seconds kTimeout{30};
 
-/// Runs one asynchronous step to its end, so that its time limit applies.
+/// Runs one asynchronous operation until it completes. Synchronous operations would ignore the
+/// timeout of the stream.
 template <typename Start> beast::error_code runStep(boost::asio::io_context& context, Start start) {
   beast::error_code result;
   start([&result](beast::error_code failure, auto&&...) { result = failure; });
@@ -27,8 +28,8 @@
 
 } // namespace
 
-Result<Response> simpleCall(const std::string& address, Verb method, const std::string& target,
-                            const std::string& body, const std::vector<SimpleHeader>& headers) {
+Result<Response> blockingCall(const std::string& address, Verb method, const std::string& target,
+                              const std::string& body, const std::vector<RequestHeader>& headers) {
   const auto endpoint = parseEndpoint(address);
   if (!endpoint) {
     return Error{"not an address \"ip:port\": " + address};
@@ -40,7 +41,7 @@
       runStep(context, [&](auto done) { stream.async_connect(*endpoint, done); });
   Request request(method, target, 11);
   request.set(Field::host, address);
-  for (const SimpleHeader& header : headers) {
+  for (const RequestHeader& header : headers) {
     request.set(header.name, header.value);
   }
   request.body() = body;
@@ -60,17 +61,17 @@
   return response;
 }
 
-Result<std::string> simpleGet(const std::string& address, const std::string& target) {
-  const auto response = simpleCall(address, Verb::get, target, "", {});
-  if (isError(response)) {
-    return errorOf(response);
+Result<std::string> blockingGet(const std::string& address, const std::string& target) {
+  const auto result = blockingCall(address, Verb::get, target, "", {});
+  if (isError(result)) {
+    return errorOf(result);
   }
-  const auto& answer = std::get<Response>(response);
-  if (answer.result() != Status::ok) {
-    return Error{address + " answered " + std::to_string(answer.result_int()) + ": " +
-                 answer.body()};
+  const auto& response = std::get<Response>(result);
+  if (response.result() != Status::ok) {
+    return Error{address + " answered " + std::to_string(response.result_int()) + ": " +
+                 response.body()};
   }
-  return answer.body();
+  return response.body();
 }
 
 } // namespace workshatch::http
--- a/src/adapters/http/http_client.cc
+++ b/src/adapters/http/http_client.cc
@@ -19,14 +19,14 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kReadSize = size_t{16} * 1024;
-constexpr size_t kKeptPerAddress = 64;
+constexpr size_t kMaxIdlePerAddress = 64;
 
 CallError errorOf(CallPhase phase, beast::error_code failure) {
   return CallError{
       .phase = phase, .timed_out = failure == beast::error::timeout, .message = failure.message()};
 }
 
-/// Clears the pointer to the stream when a call ends.
+/// Gives a CallCancel access to the stream while the call is in progress.
 class CancelScope {
 public:
   CancelScope(CallCancel* cancel, beast::tcp_stream*& slot, beast::tcp_stream* stream)
@@ -57,19 +57,19 @@
   }
 }
 
-ClientAnswer::ClientAnswer(Client& client, std::string address)
+ClientResponse::ClientResponse(Client& client, std::string address)
     : client_(client), address_(std::move(address)) {
   parser_.body_limit(boost::none);
 }
 
-void ClientAnswer::cancel() {
+void ClientResponse::cancel() {
   cancelled_ = true;
   if (stream_) {
     stream_->close();
   }
 }
 
-awaitable<std::variant<std::string, CallError>> ClientAnswer::read() {
+awaitable<std::variant<std::string, CallError>> ClientResponse::read() {
   std::string part(kReadSize, '\0');
   while (!parser_.is_done()) {
     parser_.get().body().data = part.data();
@@ -92,12 +92,12 @@
   }
   if (stream_ && parser_.get().keep_alive() && buffer_.size() == 0) {
     stream_->expires_never();
-    client_.keep(address_, std::move(stream_));
+    client_.addIdle(address_, std::move(stream_));
   }
   co_return std::string();
 }
 
-awaitable<std::variant<std::string, CallError>> ClientAnswer::readAll(size_t limit) {
+awaitable<std::variant<std::string, CallError>> ClientResponse::readAll(size_t limit) {
   std::string body;
   while (true) {
     auto part = co_await read();
@@ -115,12 +115,13 @@
   }
 }
 
-Client::Stream Client::takeKept(const std::string& address) {
-  std::vector<Stream>& streams = kept_[address];
+Client::Stream Client::takeIdle(const std::string& address) {
+  std::vector<Stream>& streams = idle_[address];
   while (!streams.empty()) {
     Stream stream = std::move(streams.back());
     streams.pop_back();
-    // A connection with something to read was closed, or is out of step.
+    // Pending input on an idle connection means that the server closed it, or that a response
+    // arrived for which there is no request. Neither connection is usable.
     beast::error_code failure;
     char byte = 0;
     const ssize_t count =
@@ -132,9 +133,9 @@
   return nullptr;
 }
 
-void Client::keep(const std::string& address, Stream stream) {
-  std::vector<Stream>& streams = kept_[address];
-  if (streams.size() < kKeptPerAddress) {
+void Client::addIdle(const std::string& address, Stream stream) {
+  std::vector<Stream>& streams = idle_[address];
+  if (streams.size() < kMaxIdlePerAddress) {
     streams.push_back(std::move(stream));
   }
 }
@@ -163,32 +164,32 @@
                                        const CallOptions& options, CallCancel* cancel) {
   CallCancel none;
   CallCancel* active = cancel != nullptr ? cancel : &none;
-  auto answer = std::make_unique<ClientAnswer>(*this, address);
-  answer->stream_ = std::move(stream);
-  answer->read_timeout_ = options.read_timeout;
-  const CancelScope scope(active, active->stream_, answer->stream_.get());
+  auto response = std::make_unique<ClientResponse>(*this, address);
+  response->stream_ = std::move(stream);
+  response->read_timeout_ = options.read_timeout;
+  const CancelScope scope(active, active->stream_, response->stream_.get());
   if (active->cancelled()) {
     co_return CallError{.phase = CallPhase::NotSent, .message = "cancelled"};
   }
-  answer->stream_->expires_after(options.read_timeout);
+  response->stream_->expires_after(options.read_timeout);
   const auto [write_failure, written] =
-      co_await beast::http::async_write(*answer->stream_, request, kAwait);
+      co_await beast::http::async_write(*response->stream_, request, kAwait);
   if (write_failure) {
     co_return errorOf(CallPhase::Sent, write_failure);
   }
   const auto [read_failure, bytes] = co_await beast::http::async_read_header(
-      *answer->stream_, answer->buffer_, answer->parser_, kAwait);
+      *response->stream_, response->buffer_, response->parser_, kAwait);
   if (read_failure) {
     co_return errorOf(CallPhase::Sent, read_failure);
   }
-  co_return std::move(answer);
+  co_return std::move(response);
 }
 
-std::optional<uint32_t> backoffAskedMs(const ClientAnswer& answer) {
-  const bool turned_away = answer.status() == Status::too_many_requests ||
-                           answer.status() == Status::service_unavailable;
-  const auto told = turned_away ? answer.header("Retry-After") : std::nullopt;
-  return told ? retryAfterMs(*told) : std::nullopt;
+std::optional<uint32_t> requestedBackoffMs(const ClientResponse& response) {
+  const bool rejected = response.status() == Status::too_many_requests ||
+                        response.status() == Status::service_unavailable;
+  const auto retry_after = rejected ? response.header("Retry-After") : std::nullopt;
+  return retry_after ? parseRetryAfterMs(*retry_after) : std::nullopt;
 }
 
 awaitable<CallResult> Client::call(const std::string& address, Request request, CallOptions options,
@@ -197,15 +198,16 @@
   request.prepare_payload();
   CallPhase phase = CallPhase::NotSent;
   if (!options.fresh_connection) {
-    if (Stream kept = takeKept(address)) {
-      CallResult result = co_await exchange(std::move(kept), address, request, options, cancel);
+    if (Stream idle = takeIdle(address)) {
+      CallResult result = co_await exchange(std::move(idle), address, request, options, cancel);
       const bool cancelled = cancel != nullptr && cancel->cancelled();
       const CallError* error = std::get_if<CallError>(&result);
       if (error == nullptr || error->timed_out || cancelled) {
         co_return result;
       }
-      // The other side closed the kept connection; once more on a new one. Whatever comes of that,
-      // the request may have been seen.
+      // The server probably closed the idle connection. Retries once on a new connection. The
+      // server may have received the first request, so the reported phase is never earlier than its
+      // phase.
       phase = error->phase;
     }
   }
--- a/src/adapters/logging/json_log.cc
+++ b/src/adapters/logging/json_log.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// How long the end of a process waits for the reader of its last lines.
+/// How long an exiting process waits until its last lines are written.
 constexpr std::chrono::milliseconds kFinishLimit{500};
 constexpr std::chrono::milliseconds kFinishPoll{5};
 
@@ -27,8 +27,9 @@
   BoundedOutput output{STDERR_FILENO};
 };
 
-/// The process has one standard error, so one log. Never destroyed: threads may log until the end.
-Log& theLog() {
+/// The log of the process, which has one standard error. It is never destroyed, since threads may
+/// log until the process exits.
+Log& sharedLog() {
   static Log* const log = new Log;
   return *log;
 }
@@ -65,20 +66,20 @@
 
 } // namespace
 
-void initialize(std::string_view process) { theLog().process = process; }
+void initialize(std::string_view process) { sharedLog().process = process; }
 
 void write(Severity severity, std::string_view event, const nlohmann::json& fields) {
-  Log& log = theLog();
+  Log& log = sharedLog();
   nlohmann::json line = fields;
   line["time"] = timestamp();
   line["severity"] = nameOf(severity);
   line["process"] = log.process;
   line["event"] = event;
-  // Before the lock, which all workers share.
+  // Serialized before taking the lock, which all workers share.
   std::string text = textOf(line);
   const std::lock_guard lock(log.mutex);
-  if (log.output.takesLine()) {
-    if (const uint64_t dropped = log.output.takeNewlyDropped(); dropped != 0) {
+  if (log.output.tryReserveLine()) {
+    if (const uint64_t dropped = log.output.takeUnreportedDrops(); dropped != 0) {
       line["dropped_lines"] = dropped;
       text = textOf(line);
     }
@@ -88,7 +89,7 @@
 }
 
 void finish() {
-  Log& log = theLog();
+  Log& log = sharedLog();
   const auto until = std::chrono::steady_clock::now() + kFinishLimit;
   while (std::chrono::steady_clock::now() < until) {
     {
--- a/src/core/raft/raft_replication.cc
+++ b/src/core/raft/raft_replication.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Replication: appends, snapshots, the commit index and read index.
+/// Replication of a RaftNode: appends, snapshots, the commit index and confirmation of reads.
 #include <algorithm>
 #include <utility>
 
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A snapshot that was not answered is sent again after this many election timeouts.
+/// Number of election timeouts after which an unanswered snapshot is sent again.
 constexpr uint64_t kSnapshotRetryElections = 4;
 
 } // namespace
 
-void RaftNode::appendOwn(v1::RaftEntry entry) {
+void RaftNode::appendAsLeader(v1::RaftEntry entry) {
   entry.set_index(log_.lastIndex() + 1);
   entry.set_term(term());
   log_.append(std::move(entry));
@@ -27,13 +27,13 @@
   }
 }
 
-void RaftNode::startReadRound() {
+void RaftNode::startHeartbeatRound() {
   heartbeat_due_ = now_ + options_.heartbeat_ticks;
   ++round_;
   round_ticks_[round_] = now_;
   for (const auto& [peer, progress] : progress_) {
-    // Entries under way are not sent again: a follower that lacks them rejects this heartbeat,
-    // which names the last of them.
+    // Entries in flight are not sent again. A follower that lacks them rejects this heartbeat,
+    // which refers to the last of them.
     sendAppend(peer, true);
   }
   confirmReads();
@@ -56,7 +56,7 @@
   message.set_to(peer);
   message.set_log_index(previous);
   message.set_log_term(log_.termAt(previous));
-  message.set_commit(commit_);
+  message.set_commit(commit_index_);
   message.set_round(round_);
   progress.next += entries.size();
   for (v1::RaftEntry& entry : entries) {
@@ -70,10 +70,11 @@
   const bool outstanding = progress.snapshot_tick != 0 && now_ - progress.snapshot_tick < retry;
   v1::RaftMessage message;
   message.set_to(peer);
-  message.set_commit(commit_);
+  message.set_commit(commit_index_);
   message.set_round(round_);
   if (outstanding) {
-    // A heartbeat at the base keeps the follower from standing for election meanwhile.
+    // A heartbeat at the snapshot's index keeps the follower from starting an election while the
+    // snapshot is in flight.
     message.set_type(v1::RAFT_APPEND);
     message.set_log_index(log_.snapshot().index());
     message.set_log_term(log_.snapshot().term());
@@ -99,12 +100,12 @@
     becomeFollower(message.term(), message.from());
   }
   leader_ = message.from();
-  leader_tick_ = std::max<uint64_t>(now_, 1);
+  last_leader_tick_ = std::max<uint64_t>(now_, 1);
   resetElectionTimer();
 
-  if (message.log_index() < commit_) {
-    // Committed entries match the leader's by definition.
-    reply.set_match_index(commit_);
+  if (message.log_index() < commit_index_) {
+    // Committed entries always match the leader's.
+    reply.set_match_index(commit_index_);
   } else if (log_.contains(message.log_index()) &&
              log_.termAt(message.log_index()) == message.log_term()) {
     appendFromLeader(message);
@@ -125,14 +126,14 @@
       if (log_.termAt(entry.index()) == entry.term()) {
         continue;
       }
-      WORKSHATCH_CHECK(entry.index() > commit_, "a committed entry would be replaced");
+      WORKSHATCH_CHECK(entry.index() > commit_index_, "a committed entry would be replaced");
       log_.truncateFrom(entry.index());
-      if (entry.index() <= writing_) {
+      if (entry.index() <= submitted_index_) {
         const uint64_t previous = ready_.truncate_from;
         ready_.truncate_from = previous == 0 ? entry.index() : std::min(previous, entry.index());
       }
-      writing_ = std::min(writing_, entry.index() - 1);
-      stable_ = std::min(stable_, entry.index() - 1);
+      submitted_index_ = std::min(submitted_index_, entry.index() - 1);
+      durable_index_ = std::min(durable_index_, entry.index() - 1);
       membership_changed = true;
     }
     log_.append(entry);
@@ -148,12 +149,12 @@
     return log_.lastIndex();
   }
   if (!log_.contains(index)) {
-    return commit_;
+    return commit_index_;
   }
-  // Skips the whole term that conflicts, but nothing committed.
+  // Skips all entries of the conflicting term, but no committed ones.
   const uint64_t conflict_term = log_.termAt(index);
   uint64_t hint = index;
-  while (hint > commit_ && hint > log_.baseIndex() && log_.termAt(hint) == conflict_term) {
+  while (hint > commit_index_ && hint > log_.baseIndex() && log_.termAt(hint) == conflict_term) {
     --hint;
   }
   return hint;
@@ -168,7 +169,7 @@
     return;
   }
   Progress& progress = found->second;
-  progress.active_tick = now_;
+  progress.last_reply_tick = now_;
   progress.round = std::max(progress.round, message.round());
   confirmReads();
   if (message.reject()) {
@@ -184,7 +185,7 @@
     advanceCommit();
   }
   if (role_ != RaftRole::Leader) {
-    // The commit removed this replica from the group; `progress` is gone.
+    // The commit removed this replica from the group and invalidated `progress`.
     return;
   }
   if (transfer_target_ == message.from() && progress.match == log_.lastIndex()) {
@@ -212,27 +213,27 @@
     becomeFollower(message.term(), message.from());
   }
   leader_ = message.from();
-  leader_tick_ = std::max<uint64_t>(now_, 1);
+  last_leader_tick_ = std::max<uint64_t>(now_, 1);
   resetElectionTimer();
   const v1::RaftSnapshot& snapshot = message.snapshot();
   const bool has_entry =
       log_.contains(snapshot.index()) && log_.termAt(snapshot.index()) == snapshot.term();
-  if (snapshot.index() > commit_ && has_entry) {
-    // What stands behind the snapshot may have been acknowledged; the log stays (rule 6 of
+  if (snapshot.index() > commit_index_ && has_entry) {
+    // The log is kept, because entries after the snapshot may have been acknowledged (rule 6 of
     // InstallSnapshot in the paper).
     commitTo(snapshot.index());
-  } else if (snapshot.index() > commit_) {
+  } else if (snapshot.index() > commit_index_) {
     log_.restore(snapshot);
     ready_.snapshot = snapshot;
     ready_.truncate_from = 0;
     ready_.committed.clear();
-    commit_ = snapshot.index();
-    handed_out_ = commit_;
-    stable_ = commit_;
-    writing_ = commit_;
+    commit_index_ = snapshot.index();
+    delivered_index_ = commit_index_;
+    durable_index_ = commit_index_;
+    submitted_index_ = commit_index_;
     refreshMembership();
   }
-  reply.set_match_index(commit_);
+  reply.set_match_index(commit_index_);
   send(std::move(reply));
 }
 
@@ -249,7 +250,7 @@
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const uint64_t agreed = matches[quorum() - 1];
   // Only entries of the leader's own term are committed by counting replicas.
-  if (agreed <= commit_ || log_.termAt(agreed) != term()) {
+  if (agreed <= commit_index_ || log_.termAt(agreed) != term()) {
     return;
   }
   commitTo(agreed);
@@ -257,12 +258,12 @@
     // An empty append carries the new commit index without waiting for the next heartbeat.
     sendAppend(peer, true);
   }
-  if (!votesIn(log_.membershipAt(commit_), id_)) {
+  if (!isVoterOf(log_.membershipAt(commit_index_), id_)) {
     becomeFollower(term(), 0);
   }
 }
 
-void RaftNode::commitTo(uint64_t index) { commit_ = std::max(commit_, index); }
+void RaftNode::commitTo(uint64_t index) { commit_index_ = std::max(commit_index_, index); }
 
 uint64_t RaftNode::roundOf(uint64_t member) const {
   if (member == id_) {
@@ -293,7 +294,7 @@
   const uint64_t answered = quorumRound();
   auto sent = round_ticks_.upper_bound(answered);
   if (sent != round_ticks_.begin()) {
-    quorum_tick_ = std::max(quorum_tick_, std::prev(sent)->second);
+    last_quorum_tick_ = std::max(last_quorum_tick_, std::prev(sent)->second);
     round_ticks_.erase(round_ticks_.begin(), sent);
   }
   const auto confirmed = [&](const PendingRead& read) { return read.round <= answered; };
--- a/src/core/relay/runner_choice.cc
+++ b/src/core/relay/runner_choice.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The choice of a runner: by what owners are asked for, or by sums of loads.
+/// Implements the choice of a runner in RunnerTable: by slot owners, or by load totals.
 #include <algorithm>
 #include <cmath>
 #include <iterator>
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// Runners that are ranked for a prompt where owners are asked: more than are ever asked for one.
-constexpr size_t kRankedForOwners = 16;
-/// Fineness of the lots by which relays share a place.
-constexpr uint64_t kLots = 1024;
+/// Number of runners ranked for a prompt when slot owners are used: more than are ever tried for
+/// one prompt.
+constexpr size_t kMaxRankedForOwners = 16;
+/// Resolution of the random draw by which relays share the free slots of a runner.
+constexpr uint64_t kDrawSteps = 1024;
 
 bool isExcluded(const RunnerRequest& request, const Runner& runner) {
   return std::find(request.excluded.begin(), request.excluded.end(), runner.entry.id()) !=
@@ -24,59 +25,60 @@
 
 } // namespace
 
-RunnerTable::Candidacy RunnerTable::candidatesFor(const RunnerRequest& request) const {
-  Candidacy candidacy;
-  Candidates& usable = candidacy.runners;
+RunnerTable::CandidateSet RunnerTable::candidatesFor(const RunnerRequest& request) const {
+  CandidateSet candidate_set;
+  Candidates& usable = candidate_set.runners;
   Candidates avoided;
   const auto service = services_.find(request.service);
   if (service == services_.end()) {
-    return candidacy;
+    return candidate_set;
   }
-  const v1::Rollout* rollout = rollouts_.rolloutOf(request.service);
+  const v1::Rollout* rollout = rollouts_.findRollout(request.service);
   usable.reserve(service->second.runners.size());
   for (const auto& runner : service->second.runners) {
-    const bool open =
+    const bool eligible =
         !runner->isLeaving() && !runner->evacuated &&
-        (rollout == nullptr || isOpen(*rollout, runner->entry.version(), request.trial));
-    if (!open || !isHome(request.home_regions, *runner) || isExcluded(request, *runner)) {
+        (rollout == nullptr || admitsVersion(*rollout, runner->entry.version(), request.trial));
+    if (!eligible || !isHome(request.home_regions, *runner) || isExcluded(request, *runner)) {
       continue;
     }
-    // Not even as the last resort: what a runner asks for is no guess of this relay.
+    // A runner that requested a backoff is not even a last resort: its request is explicit, unlike
+    // this relay's own estimates.
     if (isBackingOff(*runner, request.now_ms)) {
-      ++candidacy.backing_off;
+      ++candidate_set.backing_off;
       continue;
     }
-    // Only an owner keeps the pace of a cold runner.
-    const bool unpaced =
-        (request.past_limits || !request.asks_owners) && coldMs(*runner, request.now_ms) != 0;
-    const bool last = unpaced || runner->version_untold || isAvoided(*runner, request.now_ms);
+    // Only a slot owner limits the rate of requests to a cold runner.
+    const bool unpaced = (request.ignores_limits || !request.uses_slot_owners) &&
+                         coldMs(*runner, request.now_ms) != 0;
+    const bool last = unpaced || runner->version_unconfirmed || isAvoided(*runner, request.now_ms);
     (last ? avoided : usable).push_back(runner);
   }
   if (request.trial) {
     keepTrialRunners(request, usable);
-    return candidacy;
+    return candidate_set;
   }
-  candidacy.last_resort = usable.empty() && !avoided.empty();
-  if (candidacy.last_resort) {
+  candidate_set.last_resort = usable.empty() && !avoided.empty();
+  if (candidate_set.last_resort) {
     usable = std::move(avoided);
   }
-  return candidacy;
+  return candidate_set;
 }
 
-/// A version on trial gets its share on as few of its runners as bear it, so that these are as
-/// loaded as those of the former version: some faults show under load only.
+/// Limits a version on trial to as few of its runners as its share of the requests needs. These are
+/// then as loaded as the runners of the former version, because some faults only show under load.
 void RunnerTable::keepTrialRunners(const RunnerRequest& request, Candidates& candidates) const {
   const Candidates& all = services_.at(request.service).runners;
-  const v1::Rollout& rollout = *rollouts_.rolloutOf(request.service);
+  const v1::Rollout& rollout = *rollouts_.findRollout(request.service);
   const auto former = std::count_if(all.begin(), all.end(), [&](const auto& runner) {
     return runner->entry.version() != rollout.target_version();
   });
-  const auto wanted =
+  const auto needed =
       static_cast<size_t>(std::ceil(options_.trial_share * static_cast<double>(former)));
   std::sort(candidates.begin(), candidates.end(), [](const auto& left, const auto& right) {
     return left->fingerprint < right->fingerprint;
   });
-  candidates.resize(std::min(candidates.size(), std::max<size_t>(wanted, 1)));
+  candidates.resize(std::min(candidates.size(), std::max<size_t>(needed, 1)));
 }
 
 double RunnerTable::meanLoad(const Candidates& candidates) {
@@ -87,117 +89,124 @@
   return static_cast<double>(total) / static_cast<double>(candidates.size());
 }
 
-/// The mean that the load cap follows: of the candidates and of the service's runners that are held
-/// back by an evacuation, a rollout or themselves, which count in the operators' bound as well.
+/// Mean load for the load cap. It covers the candidates and those runners of the service that get
+/// no requests because of an evacuation, a rollout or their own backoff, because the operators'
+/// bound counts these as well.
 double RunnerTable::meanForCap(const RunnerRequest& request, const Candidates& candidates) const {
   uint64_t load = 0;
   size_t counted = candidates.size();
   for (const auto& runner : candidates) {
     load += runner->load();
   }
-  const v1::Rollout* rollout = rollouts_.rolloutOf(request.service);
+  const v1::Rollout* rollout = rollouts_.findRollout(request.service);
   for (const auto& runner : services_.at(request.service).runners) {
-    const bool held_back =
+    const bool gets_no_requests =
         runner->evacuated || isBackingOff(*runner, request.now_ms) ||
-        (rollout != nullptr && !isOpen(*rollout, runner->entry.version(), request.trial));
-    load += held_back ? runner->load() : 0;
-    counted += held_back ? 1 : 0;
+        (rollout != nullptr && !admitsVersion(*rollout, runner->entry.version(), request.trial));
+    load += gets_no_requests ? runner->load() : 0;
+    counted += gets_no_requests ? 1 : 0;
   }
   return static_cast<double>(load) / static_cast<double>(counted);
 }
 
-/// All relays see the same sums: if each took all that was free, a runner would get it once from
-/// each. So where more is asked between two sums than was free, a request takes a place with the
-/// chance that lets all relays together take what was free; where a runner was too full, each relay
-/// gives back its part of what was too much.
-bool RunnerTable::takesShare(const RunnerRequest& request, const Runner& runner,
-                             uint32_t limit) const {
-  const uint32_t own = runner.in_progress_at_sums;
-  const uint32_t load_at_sums = runner.others_in_progress + own;
-  if (load_at_sums > limit) {
-    return runner.in_progress < own * limit / load_at_sums;
+/// Decides whether this relay may use a free slot of the runner until the next load totals arrive.
+///
+/// All relays receive the same totals. If each relay filled all free slots, the runner would get
+/// that many requests from each of them. If more requests are expected between two totals than
+/// slots were free, a request is therefore admitted with the probability at which all relays
+/// together fill the free slots. If the runner was overloaded, each relay sheds its share of the
+/// excess.
+bool RunnerTable::isWithinShare(const RunnerRequest& request, const Runner& runner,
+                                uint32_t limit) const {
+  const uint32_t own = runner.in_progress_at_totals;
+  const uint32_t load_at_totals = runner.others_in_progress + own;
+  if (load_at_totals > limit) {
+    return runner.in_progress < own * limit / load_at_totals;
   }
   if (runner.in_progress < own) {
     return true;
   }
-  const double free = limit - load_at_sums;
-  const double chance = free / std::max(expectedAt(request.service), 1.0);
-  const double lot = static_cast<double>(request.standing.draw % kLots) / kLots;
-  return lot < chance;
+  const double free = limit - load_at_totals;
+  const double chance = free / std::max(expectedRequestsPerRunner(request.service), 1.0);
+  const double draw_fraction = static_cast<double>(request.rank.draw % kDrawSteps) / kDrawSteps;
+  return draw_fraction < chance;
 }
 
-/// Requests that all relays together have for a runner of the service between two sums, as far as
-/// this relay's own requests tell.
-double RunnerTable::expectedAt(const std::string& service) const {
+/// Estimates how many requests all relays together send to a runner of the service between two load
+/// totals, by this relay's own requests.
+double RunnerTable::expectedRequestsPerRunner(const std::string& service) const {
   const auto found = services_.find(service);
   if (found == services_.end() || found->second.runners.empty()) {
     return 0;
   }
-  const uint32_t asked = std::max(found->second.asked_before_sums, found->second.asked_since_sums);
-  return static_cast<double>(asked) * static_cast<double>(relays_) /
+  const uint32_t requests =
+      std::max(found->second.requests_before_totals, found->second.requests_since_totals);
+  return static_cast<double>(requests) * static_cast<double>(relays_) /
          static_cast<double>(found->second.runners.size());
 }
 
-/// While most places of the service are free, a home may have a few requests more than places: they
-/// wait there for less time than it takes to read their prompts elsewhere.
-uint32_t RunnerTable::limitOf(const RunnerRequest& request, const Runner& runner, bool busy) const {
-  const uint32_t places = runner.entry.slots();
-  if (!busy && request.engine && places != 0) {
-    return places + static_cast<uint32_t>(options_.leave_slack);
+/// Highest load up to which the request may be sent to the runner. While most slots of the service
+/// are free, a home may get a few requests more than it has slots: queueing there takes less time
+/// than reading the prompt on another runner.
+uint32_t RunnerTable::loadLimitFor(const RunnerRequest& request, const Runner& runner,
+                                   bool busy) const {
+  const uint32_t slots = runner.entry.slots();
+  if (!busy && request.engine && slots != 0) {
+    return slots + static_cast<uint32_t>(options_.spill_slack);
   }
-  return placeLimit(options_.places, places, request.engine, request.standing);
+  return slotLimit(options_.slot_limits, slots, request.engine, request.rank);
 }
 
-bool RunnerTable::hasPlace(const RunnerRequest& request, const Runner& runner, bool busy) const {
-  if (request.past_limits || !options_.policy.place_limits) {
+bool RunnerTable::hasFreeSlot(const RunnerRequest& request, const Runner& runner, bool busy) const {
+  if (request.ignores_limits || !options_.policy.place_limits) {
     return true;
   }
-  const uint32_t limit = limitOf(request, runner, busy);
+  const uint32_t limit = loadLimitFor(request, runner, busy);
   if (runner.load() >= limit || runner.full_until_ms > request.now_ms) {
     return false;
   }
-  // A plain service's requests end many times between two sums: what was free then says little.
+  // Requests of a plain service are shorter than the interval between two load totals, so the
+  // number of slots that were free then says little.
   const bool shared = options_.policy.shared_places && request.engine;
-  return !shared || takesShare(request, runner, limit);
+  return !shared || isWithinShare(request, runner, limit);
 }
 
-/// @return whether most of the places of these runners are taken.
+/// @return whether the load of these runners is over `busy_fraction` of their slots.
 bool RunnerTable::isBusy(const Candidates& candidates) const {
   uint64_t load = 0;
-  uint64_t places = 0;
+  uint64_t slots = 0;
   for (const auto& runner : candidates) {
     load += runner->load();
-    places += runner->entry.slots();
+    slots += runner->entry.slots();
   }
-  return static_cast<double>(load) > options_.busy_part * static_cast<double>(places);
+  return static_cast<double>(load) > options_.busy_fraction * static_cast<double>(slots);
 }
 
 std::variant<RunnerChoice, NoRunner> RunnerTable::choose(const RunnerRequest& request) {
-  forgetStaleSums(request.now_ms);
-  Candidacy candidacy = candidatesFor(request);
-  Candidates& candidates = candidacy.runners;
+  dropStaleLoadTotals(request.now_ms);
+  CandidateSet candidate_set = candidatesFor(request);
+  Candidates& candidates = candidate_set.runners;
   if (candidates.empty()) {
-    return candidacy.backing_off > 0 ? NoRunner::AllBackingOff : NoRunner::NoneLeft;
+    return candidate_set.backing_off > 0 ? NoRunner::AllBackingOff : NoRunner::NoneLeft;
   }
-  services_[request.service].asked_since_sums += request.asks_again ? 0 : 1;
+  services_[request.service].requests_since_totals += request.already_counted ? 0 : 1;
   const bool by_prompt = request.cache_key != 0 && options_.policy.prompt_homes;
   const bool busy = isBusy(candidates);
-  const bool by_owners = request.asks_owners && !request.past_limits;
+  const bool by_owners = request.uses_slot_owners && !request.ignores_limits;
   if (by_prompt) {
-    const size_t ranked = by_owners ? kRankedForOwners : candidates.size();
-    candidates =
-        routing::rankFirst(request.cache_key, std::move(candidates), ranked,
-                           [](const std::shared_ptr<Runner>& runner) -> const std::string& {
-                             return runner->entry.id();
-                           });
+    const size_t ranked = by_owners ? kMaxRankedForOwners : candidates.size();
+    candidates = routing::rankTop(request.cache_key, std::move(candidates), ranked,
+                                  [](const std::shared_ptr<Runner>& runner) -> const std::string& {
+                                    return runner->entry.id();
+                                  });
   }
   std::optional<RunnerChoice> choice =
       by_owners ? chooseOffer(request, candidates, by_prompt, busy)
-                : chooseBySums(request, std::move(candidates), by_prompt, busy);
+                : chooseByLoadTotals(request, std::move(candidates), by_prompt, busy);
   if (!choice) {
     return NoRunner::AllFull;
   }
-  choice->last_resort = candidacy.last_resort;
+  choice->last_resort = candidate_set.last_resort;
   return *std::move(choice);
 }
 
@@ -206,44 +215,45 @@
   if (found == services_.end()) {
     return 0;
   }
-  int64_t least_ms = 0;
+  int64_t earliest_ms = 0;
   for (const auto& runner : found->second.runners) {
-    const int64_t left_ms = runner->backoff.time.leftMs(now_ms);
-    const bool sooner = left_ms > 0 && (least_ms == 0 || left_ms < least_ms);
-    least_ms = sooner ? left_ms : least_ms;
+    const int64_t left_ms = runner->backoff.time.remainingMs(now_ms);
+    const bool sooner = left_ms > 0 && (earliest_ms == 0 || left_ms < earliest_ms);
+    earliest_ms = sooner ? left_ms : earliest_ms;
   }
-  return least_ms;
+  return earliest_ms;
 }
 
-/// Without sums the mean is not known: there is no cap then.
-std::optional<uint32_t> RunnerTable::ownersCap(const RunnerRequest& request,
-                                               const Candidates& candidates) const {
-  if (sums_at_ms_ == 0) {
+/// Load cap where slot owners count the load. Without load totals the mean is not known, and there
+/// is no cap.
+std::optional<uint32_t> RunnerTable::ownerLoadCap(const RunnerRequest& request,
+                                                  const Candidates& candidates) const {
+  if (totals_received_ms_ == 0) {
     return std::nullopt;
   }
   return static_cast<uint32_t>(options_.cap_factor * meanForCap(request, candidates) +
-                               options_.owners_cap_slack);
+                               options_.owner_cap_slack);
 }
 
-/// The next runner whose owner is asked for a place.
+/// Chooses the next runner whose slot owner is to be asked for a slot.
 std::optional<RunnerChoice> RunnerTable::chooseOffer(const RunnerRequest& request,
                                                      const Candidates& candidates, bool by_prompt,
                                                      bool busy) const {
   const auto isFull = [&](const auto& runner) { return runner->full_until_ms > request.now_ms; };
-  Candidates open;
+  Candidates not_full;
   const bool some_full = std::any_of(candidates.begin(), candidates.end(), isFull);
   if (some_full) {
-    std::remove_copy_if(candidates.begin(), candidates.end(), std::back_inserter(open), isFull);
+    std::remove_copy_if(candidates.begin(), candidates.end(), std::back_inserter(not_full), isFull);
   }
   const auto offer =
-      nextOffer(options_.placement, PlacementQuestion{.candidates = some_full ? open : candidates,
-                                                      .refused = request.refused_places,
-                                                      .by_prompt = by_prompt,
-                                                      .engine = request.engine,
-                                                      .busy = busy,
-                                                      .standing = request.standing,
-                                                      .now_ms = request.now_ms,
-                                                      .cap_load = ownersCap(request, candidates)});
+      nextOffer(options_.placement, PlacementQuery{.candidates = some_full ? not_full : candidates,
+                                                   .refused = request.refused_slots,
+                                                   .by_prompt = by_prompt,
+                                                   .engine = request.engine,
+                                                   .busy = busy,
+                                                   .rank = request.rank,
+                                                   .now_ms = request.now_ms,
+                                                   .cap_load = ownerLoadCap(request, candidates)});
   if (!offer) {
     return std::nullopt;
   }
@@ -251,14 +261,16 @@
       .runner = offer->runner, .passed_over = offer->passed_over, .limit = offer->limit};
 }
 
-std::optional<RunnerChoice> RunnerTable::chooseBySums(const RunnerRequest& request,
-                                                      Candidates candidates, bool by_prompt,
-                                                      bool busy) const {
-  if (by_prompt && busy && options_.policy.few_homes && !request.past_limits) {
-    // To read a long part anew on yet another runner takes more of it than the request itself.
+std::optional<RunnerChoice> RunnerTable::chooseByLoadTotals(const RunnerRequest& request,
+                                                            Candidates candidates, bool by_prompt,
+                                                            bool busy) const {
+  if (by_prompt && busy && options_.policy.few_homes && !request.ignores_limits) {
+    // Few homes are used, because reading a long prefix again on another runner costs that runner
+    // more time than the request itself.
     candidates.resize(std::min(candidates.size(), options_.busy_homes));
   }
-  std::erase_if(candidates, [&](const auto& runner) { return !hasPlace(request, *runner, busy); });
+  std::erase_if(candidates,
+                [&](const auto& runner) { return !hasFreeSlot(request, *runner, busy); });
   if (candidates.empty()) {
     return std::nullopt;
   }
@@ -269,12 +281,13 @@
                                         const Candidates& ranked) const {
   const double mean = meanLoad(ranked);
   const double cap = options_.cap_factor * meanForCap(request, ranked) + options_.cap_slack;
-  const double leave = std::min(options_.leave_factor * mean + options_.leave_slack, cap);
+  const double spill_load = std::min(options_.spill_factor * mean + options_.spill_slack, cap);
   RunnerChoice choice;
-  // The further a runner ranks, the less likely it has the part: the first with room, not the least
-  // loaded, so that a part in demand comes to as few runners as it needs.
+  // The lower a runner ranks, the less likely it has the prefix cached. Taking the first runner
+  // with free capacity, and not the least loaded one, keeps a popular prefix on as few runners as
+  // possible.
   for (const auto& runner : ranked) {
-    if (runner->load() + 1 <= leave) {
+    if (runner->load() + 1 <= spill_load) {
       choice.runner = runner;
       return choice;
     }
@@ -285,35 +298,36 @@
   return spread;
 }
 
-std::shared_ptr<Runner> RunnerTable::guessSource(const RunnerRequest& request,
-                                                 const Runner& chosen) const {
+std::shared_ptr<Runner> RunnerTable::likelyPrefixSource(const RunnerRequest& request,
+                                                        const Runner& chosen) const {
   if (request.cache_key == 0 || !options_.policy.fetch_cached_parts) {
     return nullptr;
   }
-  return part_sources_.sourceFor(SourceQuestion{.part = request.cache_key,
-                                                .parent = request.parent_key,
-                                                .chosen = &chosen,
-                                                .runners = &services_.at(request.service).runners,
-                                                .avoided =
-                                                    [&](const Runner& runner) {
-                                                      return isAvoided(runner, request.now_ms) ||
-                                                             !isHome(request.home_regions, runner);
-                                                    },
-                                                .now_ms = request.now_ms});
+  return prefix_sources_.sourceFor(SourceQuery{.prefix = request.cache_key,
+                                               .parent = request.parent_key,
+                                               .chosen = &chosen,
+                                               .runners = &services_.at(request.service).runners,
+                                               .avoided =
+                                                   [&](const Runner& runner) {
+                                                     return isAvoided(runner, request.now_ms) ||
+                                                            !isHome(request.home_regions, runner);
+                                                   },
+                                               .now_ms = request.now_ms});
 }
 
 RunnerChoice RunnerTable::chooseByLoad(const RunnerRequest& request,
                                        const Candidates& candidates) const {
   const auto costOf = [&](const Runner& runner) {
-    // A runner of another zone must be less loaded by one request to be worth the way.
+    // A runner of another zone must have at least one request less to be worth the longer network
+    // path.
     const bool near = runner.entry.zone() == request.zone || !options_.policy.own_zone_first;
-    const uint32_t distance = near ? 0 : 1;
-    return runner.load() + distance;
+    const uint32_t zone_penalty = near ? 0 : 1;
+    return runner.load() + zone_penalty;
   };
   const auto best = std::min_element(
       candidates.begin(), candidates.end(), [&](const auto& left, const auto& right) {
-        const uint64_t left_draw = left->fingerprint ^ request.standing.draw;
-        const uint64_t right_draw = right->fingerprint ^ request.standing.draw;
+        const uint64_t left_draw = left->fingerprint ^ request.rank.draw;
+        const uint64_t right_draw = right->fingerprint ^ request.rank.draw;
         return std::pair(costOf(*left), left_draw) < std::pair(costOf(*right), right_draw);
       });
   return RunnerChoice{.runner = *best};
--- /dev/null
+++ b/src/core/relay/slot_usage.h
@@ -0,0 +1,44 @@
+/// @file
+/// The slots at runners that one relay uses, as it reports them to the owners of the slots.
+#pragma once
+
+#include <cstdint>
+#include <unordered_map>
+#include <vector>
+
+#include "workshatch/v1/relay.pb.h"
+
+namespace workshatch::relay {
+
+/// Counts the slots at runners that this relay uses, and numbers its reports about them. Times are
+/// milliseconds of the monotonic clock. Not safe for concurrent use.
+class SlotUsage {
+public:
+  /// @param incarnation number that differs with each start of the process
+  explicit SlotUsage(uint32_t incarnation) : incarnation_(incarnation) {}
+
+  void add(uint64_t runner) { ++runners_[runner].in_use; }
+  void remove(uint64_t runner);
+
+  /// @return a report of the slots in use at the runner now.
+  v1::PlaceUse makeReport(uint64_t runner, int64_t now_ms);
+
+  /// @return runners with slots in use that were not reported for `kSlotUsageReportPeriodMs`.
+  std::vector<uint64_t> dueRunners(int64_t now_ms) const;
+  /// @return all runners with slots in use.
+  std::vector<uint64_t> runners() const;
+  uint32_t slotsInUse(uint64_t runner) const;
+
+private:
+  struct Usage {
+    uint32_t in_use = 0;
+    int64_t reported_ms = 0;
+  };
+
+  const uint32_t incarnation_;
+  uint64_t sequence_ = 0;
+  /// By fingerprint of the runner's incarnation; contains only runners with slots in use.
+  std::unordered_map<uint64_t, Usage> runners_;
+};
+
+} // namespace workshatch::relay
--- a/src/core/routing/fleet_table.h
+++ b/src/core/routing/fleet_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// The back ends as one router knows them: the platform's list, failures seen, operators' drains.
+/// Engines known to one router: the platform's list, observed failures, and operators' drain
+/// requests.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace workshatch::routing {
 
-/// One line of the platform's list.
+/// One entry of the platform's list of runners.
 struct ListedRunner {
   std::string runner;
   std::string address;
@@ -23,9 +24,9 @@
   bool leaving = false;
 };
 
-/// One engine of a runner.
+/// One engine of a runner and its current state.
 struct EngineInfo {
-  /// "runner/number".
+  /// Name of the engine, "runner/number".
   std::string engine;
   std::string runner;
   std::string address;
@@ -33,57 +34,64 @@
   std::string zone;
   uint32_t number = 0;
   bool leaving = false;
-  /// Kept out of use after failures, for a time that doubles.
+  /// Not used for a time after failures; the time doubles with repeated failures.
   bool held_down = false;
-  /// Its runner asked for no requests for a time.
+  /// The runner asked to receive no requests for a time.
   bool backing_off = false;
 
-  /// @return whether it may get new requests.
+  /// @return whether the engine may receive new requests.
   bool isUsable() const { return !leaving && !held_down && !backing_off; }
 };
 
+/// Times for which a runner is not used after failures. They double from `initial_ms` to
+/// `max_ms`.
 struct HoldDownOptions {
-  int64_t first_ms = 500;
-  int64_t longest_ms = 30'000;
-  /// A runner without failures for this long starts again with the first hold-down.
-  int64_t forget_ms = 60'000;
+  int64_t initial_ms = 500;
+  int64_t max_ms = 30'000;
+  /// Time without failures after which a runner starts again with the first hold-down.
+  int64_t reset_after_ms = 60'000;
 };
 
-/// Times are milliseconds of a monotonic clock. Not safe for concurrent use.
+/// Availability of the engines as seen by one router. Times are milliseconds of a monotonic clock.
+/// Not safe for concurrent use.
 class FleetTable {
 public:
   explicit FleetTable(HoldDownOptions options) : options_(options) {}
 
+  /// Replaces the platform's list.
   void setListed(std::vector<ListedRunner> listed) { listed_ = std::move(listed); }
+  /// Applies the operators' drain requests of a configuration.
   void configure(const v1::Configuration& configuration);
 
-  /// A runner could not be reached or broke off.
-  void failed(const std::string& runner, int64_t now_ms);
-  void succeeded(const std::string& runner, int64_t now_ms);
-  /// A runner asked for no requests for a time.
-  void askedForBackoff(const std::string& runner, uint32_t asked_ms, int64_t now_ms);
-  /// A runner's own word that it is leaving, or is not any more.
-  void saidLeaving(const std::string& runner, bool leaving);
+  /// Records that a runner could not be reached or broke off a response.
+  void recordFailure(const std::string& runner, int64_t now_ms);
+  /// Records a successful response. It clears failures that are older than `reset_after_ms`.
+  void recordSuccess(const std::string& runner, int64_t now_ms);
+  /// Records that a runner asked to receive no requests for `asked_ms`.
+  void recordBackoffRequest(const std::string& runner, uint32_t asked_ms, int64_t now_ms);
+  /// Records whether a runner reports itself as leaving.
+  void setReportedLeaving(const std::string& runner, bool leaving);
 
-  /// All engines of a service, leaving and held down ones included.
+  /// All engines of a service, including those that are leaving or held down.
   std::vector<EngineInfo> engines(const std::string& service, int64_t now_ms) const;
   std::vector<EngineInfo> allEngines(int64_t now_ms) const;
+  /// @return the engine with this name, if it is listed.
   std::optional<EngineInfo> find(const std::string& engine, int64_t now_ms) const;
 
 private:
   struct Health {
     int64_t failed_ms = 0;
     int64_t hold_down_ms = 0;
-    bool held = false;
-    bool said_leaving = false;
+    bool hold_down_active = false;
+    bool reported_leaving = false;
     Backoff backoff;
   };
 
   void appendEngines(const ListedRunner& listed, int64_t now_ms,
                      std::vector<EngineInfo>& result) const;
-  bool heldDown(const std::string& runner, int64_t now_ms) const;
-  bool backingOff(const std::string& runner, int64_t now_ms) const;
-  bool leaving(const ListedRunner& listed) const;
+  bool isHeldDown(const std::string& runner, int64_t now_ms) const;
+  bool isBackingOff(const std::string& runner, int64_t now_ms) const;
+  bool isLeaving(const ListedRunner& listed) const;
 
   const HoldDownOptions options_;
   std::vector<ListedRunner> listed_;
--- a/src/daemon/control/control_loop.cc
+++ b/src/daemon/control/control_loop.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The loop of a control replica: what it takes in, its waits for the disk, and its end.
+/// The event loop of a control replica: queued work, ticks, handling of disk errors, and shutdown.
 #include <algorithm>
 #include <chrono>
 #include <utility>
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Ticks made up for at most, after the process was stopped for a while.
-constexpr int64_t kMostTicksBehind = 1000;
-/// How often a stop looks whether leadership is handed over.
+/// Maximum number of missed ticks that are run after the process was suspended.
+constexpr int64_t kMaxCatchUpTicks = 1000;
+/// Interval at which `stop` checks whether leadership was transferred.
 constexpr std::chrono::milliseconds kHandOverPoll{10};
-/// Time for the loop to end what it does. A write with its sync takes some milliseconds, a snapshot
-/// of 16 MB at 10 MB/s 1.6 s; what takes longer hangs.
+/// Maximum time for the loop to finish its current work. A write with its sync takes a few
+/// milliseconds, and a snapshot of 16 MB at 10 MB/s takes 1.6 s. A longer write is taken to hang.
 constexpr std::chrono::milliseconds kLoopEndLimit{2000};
 
 } // namespace
@@ -27,16 +27,17 @@
   if (!thread_.joinable()) {
     return StopOutcome::Ended;
   }
-  handOver();
-  // A call that the ended loop leaves unanswered would keep the server from ending.
+  handOverLeadership();
+  // The gRPC server's shutdown waits for open calls, so that a call left unanswered by the ended
+  // loop would block it.
   calls_.end();
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
   wake_.notify_all();
-  // Without a limit, a disk that hangs would keep the process for good.
-  if (!loopEndsWithin(kLoopEndLimit)) {
+  // Without a limit, a disk that hangs would keep the process from ever exiting.
+  if (!waitForLoopEnd(kLoopEndLimit)) {
     logging::write(logging::Severity::Error, "replica_given_up",
                    {{"waiting_for", "disk"}, {"waited_ms", kLoopEndLimit.count()}});
     return StopOutcome::DiskHangs;
@@ -45,13 +46,14 @@
   const CallCounts counts = calls_.counts();
   logging::write(
       logging::Severity::Info, "replica_ended",
-      {{"taken", counts.taken}, {"answered", counts.answered}, {"refused", counts.refused}});
+      {{"taken", counts.accepted}, {"answered", counts.answered}, {"refused", counts.refused}});
   return StopOutcome::Ended;
 }
 
-/// Waits until another replica may lead, at most an election timeout. Asks nothing of the loop,
-/// which may wait for the disk.
-void ControlReplica::handOver() {
+/// Starts a leadership transfer and waits until this replica is no longer the leader, at most for
+/// an election timeout. Polls an atomic flag instead of waiting for the loop, which may be blocked
+/// by the disk.
+void ControlReplica::handOverLeadership() {
   post([this] {
     node_->transferLeadership();
     processReady();
@@ -62,7 +64,7 @@
   }
 }
 
-bool ControlReplica::loopEndsWithin(std::chrono::milliseconds limit) {
+bool ControlReplica::waitForLoopEnd(std::chrono::milliseconds limit) {
   std::unique_lock lock(mutex_);
   return loop_ended_changed_.wait_for(lock, limit, [this] { return loop_ended_; });
 }
@@ -97,21 +99,22 @@
 }
 
 void ControlReplica::runOnce(std::deque<std::function<void()>> work) {
-  // Time first: after a freeze, an old leader must not answer before it knows how late it is.
+  // Ticks run first: after a suspension, a former leader must detect that its lease has expired
+  // before it answers any call.
   runTicks();
   for (const auto& item : work) {
     item();
   }
   processReady();
-  leaderDuties();
+  runLeaderTasks();
   processReady();
 }
 
 void ControlReplica::runTicks() {
   const int64_t now = clock_.monotonicMs();
   const int64_t behind = (now - next_tick_ms_) / options_.heartbeat_ms;
-  if (behind > kMostTicksBehind) {
-    next_tick_ms_ = now - kMostTicksBehind * options_.heartbeat_ms;
+  if (behind > kMaxCatchUpTicks) {
+    next_tick_ms_ = now - kMaxCatchUpTicks * options_.heartbeat_ms;
   }
   while (next_tick_ms_ <= now) {
     next_tick_ms_ += options_.heartbeat_ms;
@@ -120,41 +123,43 @@
 }
 
 bool ControlReplica::writeReady(const raft::RaftReady& ready) {
-  // Nothing may be sent or applied before it is durable, so the loop waits for the disk.
+  // Messages must not be sent and entries must not be applied before the write is durable, so the
+  // loop blocks until it succeeds.
   while (true) {
     const int64_t begin_ms = clock_.monotonicMs();
     const auto written = store_.write(ready);
-    noteWriteTime(clock_.monotonicMs() - begin_ms);
+    logSlowWrite(clock_.monotonicMs() - begin_ms);
     if (!isError(written)) {
-      noteDiskWorks();
+      handleDiskSuccess();
       return true;
     }
-    noteDiskRefuses(errorOf(written));
+    handleDiskFailure(errorOf(written));
     if (!waitForDisk()) {
       return false;
     }
   }
 }
 
-void ControlReplica::noteDiskWorks() {
+void ControlReplica::handleDiskSuccess() {
   if (std::exchange(disk_failing_, false)) {
-    calls_.takeAgain();
+    calls_.resumeAccepting();
     logging::write(logging::Severity::Warning, "disk_recovered", nlohmann::json::object());
   }
 }
 
-void ControlReplica::noteDiskRefuses(const Error& error) {
+void ControlReplica::handleDiskFailure(const Error& error) {
   if (!std::exchange(disk_failing_, true)) {
-    // Callers turn to another replica; this one would leave them to their own deadlines.
+    // Refused callers retry at another replica. Otherwise they would wait until their deadlines.
     calls_.refuseAll();
     logging::write(logging::Severity::Error, "disk_failed",
                    {{"error", error.message},
-                    {"consequence", "this replica takes no part until the disk can be written"}});
+                    {"consequence", "this replica is inactive until disk writes succeed"}});
   }
 }
 
-/// Waits a heartbeat and drops what comes meanwhile: its calls are refused, messages may be lost.
-/// @return false when the replica is to stop.
+/// Waits for one heartbeat interval and discards work that arrives meanwhile: its calls have been
+/// refused, and Raft tolerates lost messages.
+/// @return false if the replica has to stop.
 bool ControlReplica::waitForDisk() {
   std::deque<std::function<void()>> dropped;
   std::unique_lock lock(mutex_);
@@ -164,8 +169,9 @@
   return !stopping_;
 }
 
-/// Tells of a write that took so long that other replicas may have stood for election meanwhile.
-void ControlReplica::noteWriteTime(int64_t took_ms) const {
+/// Logs a write that took at least an election timeout, during which other replicas may have
+/// started an election.
+void ControlReplica::logSlowWrite(int64_t took_ms) const {
   if (took_ms >= options_.heartbeat_ms * options_.election_ticks) {
     logging::write(logging::Severity::Warning, "disk_slow",
                    {{"took_ms", took_ms}, {"leads", leads_.load()}});
--- a/src/daemon/group/group_membership.cc
+++ b/src/daemon/group/group_membership.cc
@@ -1,5 +1,5 @@
 /// @file
-/// How a replica finds or forms its group, and how the leader changes the group's members.
+/// How a replica finds, forms or joins its group, and how the leader changes the membership.
 #include <algorithm>
 #include <utility>
 
@@ -10,11 +10,12 @@
 
 namespace {
 
-constexpr int64_t kSeekPeriodMs = 300;
+constexpr int64_t kFindGroupPeriodMs = 300;
 constexpr int64_t kMembershipPeriodMs = 200;
-/// A replica that hears no leader for so long asks whether it is still a member.
-constexpr int64_t kLonelyMs = 2500;
-/// A learner this close to the commit index has caught up.
+/// After this time without a leader, a voter sends join requests, since it may have been removed
+/// from the group.
+constexpr int64_t kLeaderlessLimitMs = 2500;
+/// A learner that lags behind the commit index by at most this many entries counts as caught up.
 constexpr uint64_t kCaughtUpEntries = 4;
 /// Index and term of the snapshot that every replica of a new group starts from.
 constexpr uint64_t kFirstIndex = 1;
@@ -26,14 +27,14 @@
   return std::find(options_.seeds.begin(), options_.seeds.end(), address) != options_.seeds.end();
 }
 
-void GroupReplica::seekGroup() {
+void GroupReplica::findGroup() {
   const int64_t now = clock_.monotonicMs();
   const bool ungrouped = node_->membership().members_size() == 0;
-  const bool lonely = now - leader_heard_ms_ > kLonelyMs;
-  if (now < seek_due_ms_ || (votes() && !lonely)) {
+  const bool leaderless = now - leader_last_known_ms_ > kLeaderlessLimitMs;
+  if (now < find_group_due_ms_ || (votes() && !leaderless)) {
     return;
   }
-  seek_due_ms_ = now + kSeekPeriodMs;
+  find_group_due_ms_ = now + kFindGroupPeriodMs;
   if (ungrouped && !group_exists_ && options_.first_start && isSeed(options_.own_address)) {
     sendHellos();
     return;
@@ -86,7 +87,8 @@
     return;
   }
   if (hello.grouped()) {
-    // A group exists without this replica's state: it waits to be made a member.
+    // A group exists without this replica, which must not form another one. It waits until it is
+    // added as a member.
     group_exists_ = true;
     founders_.clear();
     return;
@@ -123,13 +125,13 @@
   makeNode(std::move(recovery));
   applied_ = kFirstIndex;
   group_exists_ = true;
-  leader_heard_ms_ = clock_.monotonicMs();
+  leader_last_known_ms_ = clock_.monotonicMs();
   line_log::write("group_formed", {{"id", id_}, {"members", options_.seeds}});
 }
 
 void GroupReplica::joinReceived(const v1::JoinRequest& request) {
   if (node_->isLeader() && !unwritten_) {
-    joins_[request.address()] = request;
+    join_requests_[request.address()] = request;
   }
 }
 
@@ -140,27 +142,31 @@
                     [](const v1::RaftMember& member) { return !member.learner(); }));
 }
 
-void GroupReplica::stepMembership() {
+void GroupReplica::advanceMembership() {
   const int64_t now = clock_.monotonicMs();
   if (!node_->isLeader()) {
-    joins_.clear();
+    join_requests_.clear();
     return;
   }
-  if (now < membership_due_ms_ || joins_.empty() || !leads() || !node_->membershipCommitted()) {
+  if (now < membership_due_ms_ || join_requests_.empty() || !leads() ||
+      !node_->membershipCommitted()) {
     return;
   }
   membership_due_ms_ = now + kMembershipPeriodMs;
-  for (const auto& [address, join] : joins_) {
-    if (stepJoin(join)) {
+  for (const auto& [address, join] : join_requests_) {
+    if (advanceJoin(join)) {
       scheduleProcess();
       return;
     }
   }
-  joins_.clear();
+  join_requests_.clear();
 }
 
-/// One step for a replica that asks to join. @return whether the membership is being changed.
-bool GroupReplica::stepJoin(const v1::JoinRequest& join) {
+/// Takes the next step for a replica that requested to join: adds it as a learner, waits until it
+/// has caught up, then removes a former identity at its address, makes it a voter or makes room for
+/// it by removing a silent voter.
+/// @return whether a membership change was proposed.
+bool GroupReplica::advanceJoin(const v1::JoinRequest& join) {
   v1::RaftMembership membership = node_->membership();
   auto* members = membership.mutable_members();
   const auto own =
@@ -190,7 +196,7 @@
     return false;
   }
   if (former != members->end()) {
-    // The replica at this address has lost its disk and with it its former identity.
+    // The replica at this address lost its disk and with it its former identity.
     members->erase(former);
     return change("former_identity_removed");
   }
@@ -201,28 +207,30 @@
   return replaceSilentVoter(std::move(membership));
 }
 
-/// Takes out the voter that has been silent longest, if one is gone; a learner then has its place.
+/// Removes the voter that has been silent for the longest time, if any exceeds the limit. A learner
+/// can then become a voter in its place.
+/// @return whether a membership change was proposed.
 bool GroupReplica::replaceSilentVoter(v1::RaftMembership membership) {
   auto* members = membership.mutable_members();
-  auto gone = members->end();
+  auto silent = members->end();
   for (auto member = members->begin(); member != members->end(); ++member) {
     const auto silent_ms =
         static_cast<int64_t>(node_->ticksSinceReply(member->id())) * options_.tick_ms;
     const bool candidate =
-        !member->learner() && member->id() != id_ && silent_ms >= options_.gone_ms;
-    if (candidate && (gone == members->end() ||
-                      node_->ticksSinceReply(member->id()) > node_->ticksSinceReply(gone->id()))) {
-      gone = member;
+        !member->learner() && member->id() != id_ && silent_ms >= options_.silent_voter_limit_ms;
+    if (candidate && (silent == members->end() || node_->ticksSinceReply(member->id()) >
+                                                      node_->ticksSinceReply(silent->id()))) {
+      silent = member;
     }
   }
-  if (gone == members->end()) {
+  if (silent == members->end()) {
     return false;
   }
   ++stats_.membership_changes;
   line_log::write(
       "membership_change",
-      {{"step", "silent_voter_removed"}, {"id", gone->id()}, {"address", gone->address()}});
-  members->erase(gone);
+      {{"step", "silent_voter_removed"}, {"id", silent->id()}, {"address", silent->address()}});
+  members->erase(silent);
   return node_->proposeMembership(membership).has_value();
 }
 
--- a/src/daemon/group/group_replica.cc
+++ b/src/daemon/group/group_replica.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Ticks made up for at most, after the process was stopped for a while.
-constexpr int64_t kMostTicksBehind = 100;
+/// Maximum number of missed ticks that are run after the process was suspended.
+constexpr int64_t kMaxCatchUpTicks = 100;
 
 } // namespace
 
@@ -32,13 +32,13 @@
   id_ = replica.id;
   const v1::RaftSnapshot snapshot = replica.recovery.log.snapshot();
   if (snapshot.index() != 0 && !state_.restore(snapshot.state())) {
-    return Error{"the snapshot in the data folder is not a state of this program"};
+    return Error{"cannot restore the state from the snapshot in the data folder"};
   }
   applied_ = snapshot.index();
   group_exists_ = !replica.recovery.log.latestMembership().members().empty();
   makeNode(std::move(replica.recovery));
   next_tick_ms_ = clock_.monotonicMs() + options_.tick_ms;
-  leader_heard_ms_ = clock_.monotonicMs();
+  leader_last_known_ms_ = clock_.monotonicMs();
   line_log::write("replica_started", {{"id", id_},
                                       {"grouped", group_exists_},
                                       {"version", state_.configuration().version()},
@@ -51,8 +51,9 @@
   raft::RaftOptions raft_options;
   raft_options.election_ticks = options_.election_ticks;
   raft_options.first_election_ticks = options_.first_election_ticks;
-  // Leases of relays are confirmed by reads, not by the leader's lease.
-  raft_options.hold_votes_after_restart = false;
+  // Votes need not be withheld after a restart: leases of relays are confirmed by a majority read,
+  // not by the leader lease.
+  raft_options.withhold_votes_after_restart = false;
   raft_options.trailing_entries = options_.trailing_entries;
   node_ = std::make_unique<raft::RaftNode>(id_, raft_options, random_, std::move(recovery));
 }
@@ -68,10 +69,10 @@
   });
 }
 
-void GroupReplica::makeUpTicks() {
+void GroupReplica::catchUpTicks() {
   const int64_t now = clock_.monotonicMs();
-  if ((now - next_tick_ms_) / options_.tick_ms > kMostTicksBehind) {
-    next_tick_ms_ = now - kMostTicksBehind * options_.tick_ms;
+  if ((now - next_tick_ms_) / options_.tick_ms > kMaxCatchUpTicks) {
+    next_tick_ms_ = now - kMaxCatchUpTicks * options_.tick_ms;
   }
   while (next_tick_ms_ <= now) {
     next_tick_ms_ += options_.tick_ms;
@@ -95,12 +96,12 @@
   if (unwritten_ && !writeReady()) {
     return;
   }
-  makeUpTicks();
+  catchUpTicks();
   while (true) {
     unwritten_ = node_->takeReady();
-    const bool nothing = !unwritten_->needsSync() && unwritten_->messages.empty() &&
-                         unwritten_->committed.empty() && unwritten_->reads.empty();
-    if (nothing) {
+    const bool idle = !unwritten_->needsSync() && unwritten_->messages.empty() &&
+                      unwritten_->committed.empty() && unwritten_->reads.empty();
+    if (idle) {
       unwritten_.reset();
       break;
     }
@@ -108,13 +109,15 @@
       return;
     }
   }
-  noteLeadership();
+  updateLeadership();
   compactIfDue();
-  seekGroup();
-  stepMembership();
+  findGroup();
+  advanceMembership();
 }
 
-/// Makes `unwritten_` durable and does what it asks for. Nothing may be sent or applied before.
+/// Makes `unwritten_` durable, then sends its messages and applies its entries. Messages must not
+/// be sent and entries must not be applied before the write is durable.
+/// @return false if the disk write failed.
 bool GroupReplica::writeReady() {
   if (unwritten_->needsSync()) {
     const int64_t begin_ms = clock_.monotonicMs();
@@ -123,7 +126,7 @@
     if (isError(written)) {
       ++stats_.disk_failures;
       line_log::write("disk_failed", {{"error", errorOf(written).message}});
-      // Who waits for a change or a read asks another replica.
+      // Callers that wait for a change or a read retry at another replica.
       failPending();
       return false;
     }
@@ -136,7 +139,8 @@
   raft::RaftReady ready = std::move(*unwritten_);
   unwritten_.reset();
   if (ready.snapshot) {
-    WORKSHATCH_CHECK(state_.restore(ready.snapshot->state()), "snapshot from the leader");
+    WORKSHATCH_CHECK(state_.restore(ready.snapshot->state()),
+                     "cannot restore the snapshot received from the leader");
     applied_ = ready.snapshot->index();
     group_exists_ = true;
     if (on_change_) {
@@ -199,13 +203,14 @@
     }
     return;
   }
-  line_log::write("evacuations_committed", {{"version", state_.evacuations().version()},
-                                            {"zones", relay::zoneNames(state_.evacuations())},
-                                            {"term", node_->term()}});
+  line_log::write("evacuations_committed",
+                  {{"version", state_.evacuations().version()},
+                   {"zones", relay::evacuatedZoneNames(state_.evacuations())},
+                   {"term", node_->term()}});
 }
 
-/// Answers the command that was proposed for the place of an applied entry. A configuration that
-/// was applied is in force, or a higher version is.
+/// Answers the caller whose command was proposed at the index of an applied entry. After a
+/// configuration command was applied, its version or a higher one is in force.
 void GroupReplica::answerProposal(const v1::RaftEntry& applied) {
   const auto found =
       std::find_if(proposals_.begin(), proposals_.end(),
@@ -215,7 +220,7 @@
   }
   const Proposal proposal = std::move(*found);
   proposals_.erase(found);
-  // An entry of another term is another leader's: this command is not in the log.
+  // An entry with another term was written by another leader and has replaced this command.
   const bool own = proposal.term == applied.term();
   proposal.done(own ? StoreOutcome::Stored : StoreOutcome::NotLeader);
 }
@@ -231,7 +236,7 @@
 }
 
 void GroupReplica::store(v1::StoredConfiguration configuration, StoreCallback done) {
-  ReplyCallback<StoreOutcome> reply = calls_.take(std::move(done));
+  ReplyCallback<StoreOutcome> reply = calls_.accept(std::move(done));
   if (unwritten_ || !leads()) {
     reply(StoreOutcome::NotLeader);
     return;
@@ -246,7 +251,7 @@
 }
 
 void GroupReplica::order(const v1::GroupCommand& command, StoreCallback done) {
-  ReplyCallback<StoreOutcome> reply = calls_.take(std::move(done));
+  ReplyCallback<StoreOutcome> reply = calls_.accept(std::move(done));
   if (unwritten_ || !leads()) {
     reply(StoreOutcome::NotLeader);
     return;
@@ -255,7 +260,7 @@
 }
 
 void GroupReplica::read(ReadCallback done) {
-  ReplyCallback<const v1::StoredConfiguration*> reply = calls_.take(std::move(done));
+  ReplyCallback<const v1::StoredConfiguration*> reply = calls_.accept(std::move(done));
   if (!isLeader()) {
     reply(nullptr);
     return;
@@ -270,8 +275,9 @@
   if (unwritten_ || !node_) {
     return false;
   }
-  // Time first: after a freeze, an old leader must not answer before it knows how late it is.
-  makeUpTicks();
+  // Ticks run first: after a suspension, a former leader must detect that its lease has expired
+  // before it answers any call.
+  catchUpTicks();
   return node_->committedInTerm() && node_->hasLeaderLease();
 }
 
@@ -280,12 +286,12 @@
 }
 
 int64_t GroupReplica::leaderlessForMs() const {
-  return knowsLeader() ? 0 : clock_.monotonicMs() - leader_heard_ms_;
+  return knowsLeader() ? 0 : clock_.monotonicMs() - leader_last_known_ms_;
 }
 
-void GroupReplica::noteLeadership() {
+void GroupReplica::updateLeadership() {
   if (node_->leader() != 0) {
-    leader_heard_ms_ = clock_.monotonicMs();
+    leader_last_known_ms_ = clock_.monotonicMs();
   }
   const bool leader = node_->isLeader();
   const bool new_term = leader && leader_term_ != node_->term();
@@ -301,14 +307,14 @@
   }
   was_leader_ = leader;
   leader_term_ = leader ? node_->term() : 0;
-  tellLeader();
+  reportLeader();
 }
 
-void GroupReplica::tellLeader() {
+void GroupReplica::reportLeader() {
   const bool usable = !node_->isLeader() || node_->committedInTerm();
   const uint64_t leader = usable ? node_->leader() : 0;
-  const bool news = std::exchange(told_leader_, leader) != leader && leader != 0;
-  if (news && on_leader_known_) {
+  const bool changed = std::exchange(reported_leader_, leader) != leader && leader != 0;
+  if (changed && on_leader_known_) {
     on_leader_known_();
   }
 }
@@ -336,7 +342,7 @@
   }
 }
 
-void GroupReplica::handOver() {
+void GroupReplica::handOverLeadership() {
   node_->transferLeadership();
   process();
 }
@@ -346,14 +352,14 @@
   const CallCounts counts = calls_.counts();
   line_log::write(
       "calls_ended",
-      {{"taken", counts.taken}, {"answered", counts.answered}, {"refused", counts.refused}});
+      {{"taken", counts.accepted}, {"answered", counts.answered}, {"refused", counts.refused}});
 }
 
 void GroupReplica::deliver(const v1::RaftBatch& batch) {
   if (unwritten_) {
     return;
   }
-  makeUpTicks();
+  catchUpTicks();
   for (const v1::RaftMessage& message : batch.messages()) {
     sender_addresses_[message.from()] = batch.sender_address();
     node_->step(message);
--- a/src/daemon/group/group_role.h
+++ b/src/daemon/group/group_role.h
@@ -1,6 +1,6 @@
 /// @file
-/// The group role: a replica of the configuration, its operator interface and its service to
-/// relays.
+/// The group role of a daemon: owns a group replica, its storage and links, the operator API, the
+/// lease service for relays, and the reader of the platform's runner list.
 #pragma once
 
 #include <functional>
@@ -16,8 +16,8 @@
 #include "adapters/settings/relay_settings.h"
 #include "adapters/worker_pool.h"
 #include "daemon/group/group_replica.h"
+#include "daemon/group/lease_service.h"
 #include "daemon/group/operator_api.h"
-#include "daemon/group/relay_hub.h"
 #include "daemon/relay_adapters.h"
 #include "daemon/role.h"
 #include "daemon/runner_list_reader.h"
@@ -25,14 +25,14 @@
 
 namespace workshatch::daemon {
 
-/// Lives on the first worker's event loop; `start`, `stop` and `reload` run on it.
+/// Runs on the first worker's event loop; `start`, `stop` and `reload` must be called on it.
 class GroupRole : public Role {
 public:
   GroupRole(settings::RelaySettings settings, WorkerPool& workers, const Clock& clock,
             RelayAdapters adapters);
 
   Result<std::monostate> start() override;
-  /// Hands leadership over, refuses the calls that still wait, then calls `stopped`.
+  /// Transfers leadership, refuses the calls that are still open, then calls `stopped`.
   void stop(std::function<void()> stopped) override;
   void reload(const settings::RelaySettings& settings) override;
 
@@ -42,7 +42,7 @@
   bool zoneExists(const std::string& zone) const;
   http::awaitable<void> finish(std::function<void()> stopped);
   http::awaitable<void> readRunnerLists();
-  http::awaitable<void> tellMetrics(http::Exchange& exchange);
+  http::awaitable<void> serveMetrics(http::Exchange& exchange);
 
   const settings::RelaySettings settings_;
   const Clock& clock_;
@@ -53,10 +53,10 @@
   disk::FileLogStore store_;
   link::LinkPool links_;
   GroupReplica replica_;
-  RelayHub hub_;
+  LeaseService lease_service_;
   OperatorApi operator_api_;
   RunnerListReader reader_;
-  /// When a list was last read whole; negative: never.
+  /// Monotonic time of the last complete read of the runner list; negative if there was none.
   int64_t list_read_at_ms_ = -1;
   link::LinkListener listener_;
   http::Server operator_server_;
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,5 +1,6 @@
 /// @file
-/// workshatchd: the daemon. Its settings turn the router role, the control role, or both on.
+/// Entry point of workshatchd, the daemon, which runs the router role, the control role or both,
+/// depending on its settings.
 #include <cstdio>
 #include <cstdlib>
 #include <optional>
@@ -26,8 +27,8 @@
     "workshatchd --config FILE | --check-config FILE\n"
     "Runs the roles that the settings turn on, until SIGTERM, which is a planned stop.";
 
-int printFaults(const settings::Faults& faults) {
-  for (const settings::Fault& fault : faults) {
+int printFaults(const settings::ValidationErrors& faults) {
+  for (const settings::ValidationError& fault : faults) {
     std::fprintf(stderr, "%s\n", settings::describe(fault).c_str());
   }
   return kExitUsage;
@@ -38,14 +39,14 @@
   return kExitFailure;
 }
 
-/// Ends the process and unwinds nothing: what was cut off midway, and a thread that waits for a
-/// disk that hangs, still use the roles.
+/// Exits without destroying the roles, since interrupted operations and a thread that is blocked on
+/// a hanging disk may still use them.
 [[noreturn]] void endProcess(int exit_code) {
   logging::finish();
   std::_Exit(exit_code);
 }
 
-/// Runs until a stop is asked for.
+/// Runs the configured roles until a stop signal arrives.
 [[noreturn]] void runDaemon(const v1::Settings& settings) {
   logging::initialize(settings.name());
   const SystemClock clock;
@@ -86,7 +87,7 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  // From the first moment, so that a stop that comes while the daemon starts is a planned one.
+  // Blocked before anything else, so that a signal during startup also leads to a planned stop.
   blockStopSignals();
   parseProgramFlags(&argc, &argv, kUsage, "daemon/main.cc");
   const std::string path = FLAGS_check_config.empty() ? FLAGS_config : FLAGS_check_config;
@@ -95,7 +96,7 @@
     return kExitUsage;
   }
   const auto loaded = settings::loadSettings(path);
-  if (const auto* faults = std::get_if<settings::Faults>(&loaded)) {
+  if (const auto* faults = std::get_if<settings::ValidationErrors>(&loaded)) {
     return printFaults(*faults);
   }
   if (!FLAGS_check_config.empty()) {
--- a/src/daemon/open_calls.cc
+++ b/src/daemon/open_calls.cc
@@ -4,8 +4,8 @@
 
 std::optional<uint64_t> OpenCalls::State::open(Refusal refusal) {
   const std::lock_guard lock(mutex_);
-  ++counts_.taken;
-  if (phase_ != Phase::Taking) {
+  ++counts_.accepted;
+  if (phase_ != Phase::Accepting) {
     ++counts_.refused;
     return std::nullopt;
   }
@@ -15,7 +15,7 @@
 }
 
 bool OpenCalls::State::answer(uint64_t id) {
-  // What the refusal holds is destroyed after the lock is released.
+  // Declared before the lock, so that objects captured by the refusal are destroyed after unlock.
   Refusal unused;
   const std::lock_guard lock(mutex_);
   const auto found = open_.find(id);
@@ -41,9 +41,9 @@
   }
 }
 
-void OpenCalls::State::takeAgain() {
+void OpenCalls::State::resumeAccepting() {
   const std::lock_guard lock(mutex_);
-  phase_ = phase_ == Phase::Ended ? Phase::Ended : Phase::Taking;
+  phase_ = phase_ == Phase::Ended ? Phase::Ended : Phase::Accepting;
 }
 
 CallCounts OpenCalls::State::counts() const {
--- /dev/null
+++ b/src/daemon/relay/active_request.cc
@@ -0,0 +1,257 @@
+#include "daemon/relay/active_request.h"
+
+#include <algorithm>
+#include <utility>
+
+#include <boost/asio/as_tuple.hpp>
+#include <boost/asio/use_awaitable.hpp>
+
+namespace workshatch::daemon {
+
+namespace {
+
+constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
+/// Maximum wait for a slot, as a fraction of the latency objective. A caller that is refused after
+/// this wait can still be served in time elsewhere or later.
+constexpr double kMaxWaitFraction = 0.2;
+/// Number of declined attempts after which the whole service is considered full.
+constexpr uint32_t kMaxDeclines = 3;
+
+} // namespace
+
+ActiveRequest::ActiveRequest(boost::asio::io_context& context, RelayState& state,
+                             http::Exchange& exchange, RelayRequest request)
+    : context_(context), state_(state), exchange_(exchange), request_(std::move(request)),
+      deadline_(context), wait_(context) {}
+
+void ActiveRequest::interrupt() {
+  wait_.cancel();
+  if (connection_) {
+    connection_->close();
+  }
+}
+
+void ActiveRequest::armDeadline() {
+  const int64_t left = request_.deadline_ms - state_.clock.monotonicMs();
+  deadline_.expires_after(std::chrono::milliseconds(std::max<int64_t>(left, 0)));
+  deadline_.async_wait([weak = weak_from_this()](boost::system::error_code failure) {
+    const auto self = weak.lock();
+    if (!failure && self) {
+      self->timed_out_ = true;
+      self->interrupt();
+    }
+  });
+}
+
+void ActiveRequest::checkDeadline() {
+  if (!interrupted() && state_.clock.monotonicMs() >= request_.deadline_ms) {
+    timed_out_ = true;
+    interrupt();
+  }
+}
+
+void ActiveRequest::cancelIfQuarantined() {
+  if (inQuarantine() && !stream_started_) {
+    quarantine_cancelled_ = true;
+    interrupt();
+  }
+}
+
+http::awaitable<void> ActiveRequest::run() {
+  const auto self = shared_from_this();
+  state_.active_requests.insert(this);
+  armDeadline();
+  exchange_.onDisconnect([weak = weak_from_this()] {
+    if (const auto active_request = weak.lock()) {
+      active_request->caller_left_ = true;
+      active_request->interrupt();
+    }
+  });
+  state_.budget.recordRequest(request_.service, request_.received_ms);
+  // A quarantined request would crash the next runner too, and fail all other requests there.
+  while (!interrupted() && !blocked()) {
+    const auto chosen = co_await findSlot();
+    if (interrupted()) {
+      break;
+    }
+    const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
+    no_runner_ =
+        choice == nullptr ? std::optional(std::get<relay::NoRunner>(chosen)) : std::nullopt;
+    if (no_runner_ == relay::NoRunner::AllFull && co_await waitForSlot()) {
+      continue;
+    }
+    if (choice == nullptr || !takeRetryFromBudget()) {
+      break;
+    }
+    recordChoice(*choice);
+    if (queue_position_.number != 0) {
+      // A service that had one free slot may have another one for the next queued request.
+      state_.queue.wakeNext(request_.service);
+    }
+    last_end_ = co_await attempt(*choice);
+    if (last_end_ == AttemptEnd::Answered || !mayTryAgain(last_end_)) {
+      break;
+    }
+  }
+  state_.active_requests.erase(this);
+  slot_.release();
+  returnUnusedTrial();
+  deadline_.cancel();
+  exchange_.onDisconnect(nullptr);
+  co_await finish();
+  exchange_.onBufferedBytesChange(nullptr);
+  state_.read_ahead.close(reader_);
+}
+
+relay::HomeRegions ActiveRequest::homeRegions() const {
+  return relay::HomeRegions{
+      .of_route = &request_.route->home_regions,
+      .of_tenant = request_.tenant == nullptr ? nullptr : &request_.tenant->home_regions};
+}
+
+relay::RunnerRequest ActiveRequest::runnerRequest() const {
+  return relay::RunnerRequest{.service = request_.service,
+                              .cache_key = request_.cache_key,
+                              .parent_key = request_.parent_key,
+                              .zone = state_.zone,
+                              .excluded = tried_,
+                              .now_ms = state_.clock.monotonicMs(),
+                              .engine = request_.engine,
+                              .home_regions = homeRegions(),
+                              .rank = request_.rank,
+                              .already_counted =
+                                  queue_position_.number != 0 || refused_in_search_ != 0,
+                              .ignores_limits = stream_started_,
+                              .uses_slot_owners = usesSlotOwners(),
+                              .refused_slots = refused_in_search_,
+                              .trial = trial_};
+}
+
+bool ActiveRequest::usesSlotOwners() const {
+  return state_.slot_client && state_.policy.place_owners;
+}
+
+/// Chooses runners until one has a free slot. Where slot owners are used, the owner decides.
+http::awaitable<std::variant<relay::RunnerChoice, relay::NoRunner>> ActiveRequest::findSlot() {
+  refused_in_search_ = 0;
+  takeTrial();
+  auto chosen = chooseRunner();
+  while (!interrupted()) {
+    const auto* choice = std::get_if<relay::RunnerChoice>(&chosen);
+    const bool has_slot = choice != nullptr && (!usesSlotOwners() || co_await claimSlot(*choice));
+    if (has_slot || (choice == nullptr && !trial_)) {
+      break;
+    }
+    slots_refused_ += choice == nullptr ? 0 : 1;
+    if (trial_) {
+      // A full version on trial must not prevent the request from being sent to another version.
+      returnUnusedTrial();
+    } else {
+      ++refused_in_search_;
+    }
+    chosen = chooseRunner();
+  }
+  co_return chosen;
+}
+
+/// Claims a slot at the runner. @return whether the request may be sent there.
+http::awaitable<bool> ActiveRequest::claimSlot(const relay::RunnerChoice& choice) {
+  const uint64_t runner = choice.runner->fingerprint;
+  if (stream_started_) {
+    slot_ = state_.slot_client->takeWithoutClaim(runner);
+    co_return true;
+  }
+  const int64_t now_ms = state_.clock.monotonicMs();
+  const uint32_t cold_ms = state_.runners.coldMs(*choice.runner, now_ms);
+  SlotClaimResult reply = co_await state_.slot_client->claim(runner, choice.limit, cold_ms);
+  if (reply.verdict == SlotVerdict::Unanswered) {
+    // Falls back to the load totals. They contain nothing about the pace of a cold runner, so a
+    // cold runner is not used.
+    ++unanswered_claims_;
+    const bool fits = cold_ms == 0 && choice.runner->load() < choice.limit;
+    slot_ = fits ? state_.slot_client->takeWithoutClaim(runner) : SlotGuard();
+    co_return fits;
+  }
+  slot_ = std::move(reply.slot);
+  state_.runners.recordLoad(*choice.runner, reply.load);
+  if (reply.wait_ms != 0) {
+    ++slots_held_back_;
+    state_.runners.recordHoldBack(*choice.runner, reply.wait_ms, state_.clock.monotonicMs());
+  }
+  co_return reply.verdict == SlotVerdict::Granted;
+}
+
+/// Chooses a runner, unless the request is new and must not overtake queued requests of the same or
+/// a higher priority.
+std::variant<relay::RunnerChoice, relay::NoRunner> ActiveRequest::chooseRunner() {
+  const bool is_new_request =
+      state_.policy.waiting_line && queue_position_.number == 0 && sent_attempts_ == 0;
+  if (is_new_request && state_.queue.hasRequestAhead(request_.service, request_.rank.priority)) {
+    return relay::NoRunner::AllFull;
+  }
+  return state_.runners.choose(runnerRequest());
+}
+
+/// Waits in the queue for a slot at any runner of the service.
+/// @return whether to choose a runner again; otherwise the request is to be refused.
+http::awaitable<bool> ActiveRequest::waitForSlot() {
+  const auto max_wait_ms = static_cast<int64_t>(kMaxWaitFraction * request_.route->objective_ms);
+  const int64_t left_ms = request_.received_ms + max_wait_ms - state_.clock.monotonicMs();
+  if (left_ms <= 0 || !state_.policy.waiting_line) {
+    co_return false;
+  }
+  if (queue_position_.number == 0) {
+    queue_position_ = state_.queue.newPosition(request_.rank.priority, request_.deadline_ms);
+  }
+  bool woken = false;
+  wait_.expires_after(std::chrono::milliseconds(left_ms));
+  const bool joined = state_.queue.enqueue(
+      request_.service, queue_position_, [this, &woken](relay::RequestQueues::WakeReason reason) {
+        woken = reason == relay::RequestQueues::WakeReason::SlotMayBeFree;
+        wait_.cancel();
+      });
+  if (!joined) {
+    co_return false;
+  }
+  co_await wait_.async_wait(kAwait);
+  state_.queue.remove(request_.service, queue_position_);
+  waited_until_ms_ = state_.clock.monotonicMs();
+  co_return woken && !interrupted();
+}
+
+/// Takes a retry from the retry budget if the request has been sent before.
+/// @return whether the attempt is allowed.
+bool ActiveRequest::takeRetryFromBudget() {
+  if (sent_attempts_ == 0) {
+    return true;
+  }
+  if (!state_.policy.repeats ||
+      !state_.budget.takeRetry(request_.service, state_.clock.monotonicMs())) {
+    ++state_.stats.repeats_refused;
+    return false;
+  }
+  ++state_.stats.repeats;
+  state_.stats.resumed_streams += stream_started_ ? 1 : 0;
+  return true;
+}
+
+void ActiveRequest::recordChoice(const relay::RunnerChoice& choice) {
+  tried_.push_back(choice.runner->entry.id());
+  load_at_choice_ = choice.runner->load();
+  passed_over_ = choice.passed_over;
+  slot_limit_ = choice.limit;
+  last_resort_ = choice.last_resort;
+  backoff_at_choice_ms_ = choice.runner->backoff.time.remainingMs(state_.clock.monotonicMs());
+}
+
+bool ActiveRequest::mayTryAgain(AttemptEnd last) const {
+  if (last == AttemptEnd::NotRun && declines_ >= kMaxDeclines) {
+    return false;
+  }
+  if (last != AttemptEnd::Broken) {
+    return true;
+  }
+  return request_.repeatable() && ran_attempts_ < request_.route->max_attempts;
+}
+
+} // namespace workshatch::daemon
--- /dev/null
+++ b/src/daemon/relay/active_request.h
@@ -0,0 +1,223 @@
+/// @file
+/// Serves one request: makes attempts at runners, one after another, until the caller has a
+/// response.
+#pragma once
+
+#include <chrono>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+
+#include "adapters/http/http_server.h"
+#include "adapters/http/runner_connection.h"
+#include "core/relay/event_splitter.h"
+#include "daemon/relay/relay_request.h"
+#include "daemon/relay/relay_state.h"
+
+namespace workshatch::daemon {
+
+/// One request in progress. Must be owned by a shared_ptr. Lives on the relay's event loop; not
+/// safe for concurrent use.
+///
+/// Guarantees:
+/// - After a runner may have run a request that is not repeatable, no other runner receives it.
+/// - A refusal with status 503 means that no runner has run the request.
+/// - Only complete events reach the caller, and a stream is terminated properly only if its last
+///   runner did so.
+class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
+public:
+  ActiveRequest(boost::asio::io_context& context, RelayState& state, http::Exchange& exchange,
+                RelayRequest request);
+
+  /// Serves the request. Returns when the caller has its final response or has disconnected.
+  http::awaitable<void> run();
+
+  /// Interrupts the request if its deadline has passed. The deadline timer does the same, but does
+  /// not advance while the machine is suspended.
+  void checkDeadline();
+
+  /// Interrupts the attempt in progress if the request is in quarantine and no part of a stream has
+  /// been relayed: the request may still be queued at the runner, which would crash when it starts
+  /// the request.
+  void cancelIfQuarantined();
+
+private:
+  /// Result of an attempt as far as the next step of the request depends on it.
+  enum class AttemptEnd {
+    /// The caller has the complete response.
+    Answered,
+    /// No connection could be made; nothing was sent.
+    Unreachable,
+    /// The runner declared that it did not run the request.
+    NotRun,
+    /// The attempt was cancelled before anything was sent.
+    Withdrawn,
+    /// The runner may have run the request but did not give a complete response.
+    Broken,
+  };
+
+  /// Result of an attempt for the request and for the state of the runner.
+  struct AttemptResult {
+    AttemptEnd end = AttemptEnd::Unreachable;
+    relay::AttemptOutcome outcome = relay::AttemptOutcome::Unreachable;
+    /// The runner closed the connection while the request was in progress.
+    bool closed_by_runner = false;
+  };
+
+  enum class ConnectOutcome {
+    Connected,
+    /// Nothing listens at the runner's address.
+    Refused,
+    /// Timeout or any other error.
+    Failed,
+  };
+
+  // One attempt (active_request_attempt.cc).
+  http::awaitable<AttemptEnd> attempt(const relay::RunnerChoice& choice);
+  http::awaitable<AttemptResult> callRunner(const relay::RunnerChoice& choice);
+  http::awaitable<ConnectOutcome> connect(const relay::Runner& runner);
+  http::awaitable<std::optional<http::CallError>> send(const relay::RunnerChoice& choice);
+  std::optional<PrefixClient::Lookup> lookUpPrefixSource(const relay::Runner& runner);
+  http::awaitable<std::shared_ptr<relay::Runner>>
+  awaitPrefixSource(std::optional<PrefixClient::Lookup> lookup, const relay::RunnerChoice& choice);
+  relay::PromptTarget promptTarget(const relay::Runner& runner) const;
+  AttemptResult broken(std::string error);
+  AttemptResult brokenBy(const http::CallError& error);
+  void recordForQuarantine(const relay::Runner& runner, const AttemptResult& result);
+  void recordAttemptEnd(relay::Runner& runner, const AttemptResult& result);
+  void releaseConnection(const relay::Runner& runner);
+  std::chrono::milliseconds silenceTimeout(bool streaming) const;
+  void recordActivity(relay::Runner& runner);
+  void applyNotice(relay::Runner& runner);
+  void recordBackoffAtSend(const relay::Runner& runner);
+
+  // Handling of the runner's response to an attempt (active_request_answer.cc).
+  http::awaitable<AttemptResult> handleAnswer(relay::Runner& runner);
+  http::awaitable<AttemptResult> handleRefusal(relay::AttemptOutcome outcome);
+  http::awaitable<AttemptResult> relayPlainAnswer();
+  http::awaitable<AttemptResult> relayStream(relay::Runner& runner);
+  http::awaitable<bool> relayEvent(const relay::CompleteEvent& event);
+  void trackReader();
+  void abortSlowReader();
+  http::Response responseHead() const;
+
+  // Participation in a rollout (active_request_rollout.cc).
+  void takeTrial();
+  void returnUnusedTrial();
+  void recordForRollout(const relay::Runner& runner, const AttemptResult& result);
+
+  // Final response and decision log (active_request_outcome.cc).
+  http::awaitable<void> finish();
+  http::awaitable<void> refuse(http::Status status, std::string code, std::string detail);
+  http::awaitable<void> refuseNotRun();
+  uint32_t retryAfterMs() const;
+  void logOutcome(const std::string& outcome);
+
+  // Main loop, choice of runners and waiting for slots (active_request.cc).
+  relay::HomeRegions homeRegions() const;
+  relay::RunnerRequest runnerRequest() const;
+  std::variant<relay::RunnerChoice, relay::NoRunner> chooseRunner();
+  http::awaitable<std::variant<relay::RunnerChoice, relay::NoRunner>> findSlot();
+  http::awaitable<bool> claimSlot(const relay::RunnerChoice& choice);
+  bool usesSlotOwners() const;
+  http::awaitable<bool> waitForSlot();
+  bool takeRetryFromBudget();
+  void recordChoice(const relay::RunnerChoice& choice);
+
+  bool interrupted() const {
+    return caller_left_ || timed_out_ || quarantine_cancelled_ || reader_cut_;
+  }
+  bool inQuarantine() const { return state_.quarantine.contains(request_.identity); }
+  /// @return whether the request depends on a lease that has expired, so that its key may have been
+  /// revoked without the relay's knowledge.
+  bool lostLease() const {
+    return request_.tenant != nullptr && !state_.lease.holds(state_.clock.monotonicMs());
+  }
+  /// @return whether the request must not be sent to any runner.
+  bool blocked() const { return inQuarantine() || lostLease(); }
+  bool mayBeSent(const relay::Runner& runner);
+  bool mayTryAgain(AttemptEnd last) const;
+  /// @return whether the request failed because runners are temporarily full.
+  bool runnersFull() const { return no_runner_ == relay::NoRunner::AllFull || declines_ > 0; }
+  bool runnersBackingOff() const { return no_runner_ == relay::NoRunner::AllBackingOff; }
+  void armDeadline();
+  void interrupt();
+
+  boost::asio::io_context& context_;
+  RelayState& state_;
+  http::Exchange& exchange_;
+  const RelayRequest request_;
+  boost::asio::steady_timer deadline_;
+  /// Limits the wait for a slot; cancelled when the wait ends early.
+  boost::asio::steady_timer wait_;
+  std::shared_ptr<http::RunnerConnection> connection_;
+
+  /// The caller has closed its connection or can't be written to.
+  bool caller_left_ = false;
+  bool timed_out_ = false;
+  /// The request was aborted because its caller read too slowly and the memory bound was reached.
+  bool reader_cut_ = false;
+  /// Id in the accounting of buffered bytes; zero before the stream starts.
+  relay::ReadAheadBudget::Reader reader_ = 0;
+  /// The request was put into quarantine while an attempt was in progress.
+  bool quarantine_cancelled_ = false;
+  /// A runner may have run the request.
+  bool may_have_run_ = false;
+  bool stream_started_ = false;
+  /// Attempts after which the runner may have run the request.
+  uint32_t ran_attempts_ = 0;
+  /// Attempts in which the request was sent, and how many of them the runner declined.
+  uint32_t sent_attempts_ = 0;
+  uint32_t declines_ = 0;
+  /// Why the last search found no runner; nullopt if it found one.
+  std::optional<relay::NoRunner> no_runner_;
+  /// Position in the queue; its number is zero until the request waits for the first time.
+  relay::QueuePosition queue_position_;
+  /// When the last wait for a slot ended; zero if there was none.
+  int64_t waited_until_ms_ = 0;
+  /// Ids of the runners that were chosen for attempts.
+  std::vector<std::string> tried_;
+  /// The request uses a trial of the version on trial and has not been sent yet.
+  bool trial_ = false;
+  /// Claims for a slot that were refused, in the current search and in all searches.
+  uint32_t refused_in_search_ = 0;
+  uint32_t slots_refused_ = 0;
+  /// Claims that were refused because the runner was cold or its zone evacuated.
+  uint32_t slots_held_back_ = 0;
+  /// Claims that the owner did not answer in time.
+  uint32_t unanswered_claims_ = 0;
+  /// The slot at the runner of the current attempt.
+  SlotGuard slot_;
+  /// Inputs of the last choice of a runner, for the log.
+  uint32_t load_at_choice_ = 0;
+  uint32_t passed_over_ = 0;
+  uint32_t slot_limit_ = 0;
+  bool last_resort_ = false;
+  /// Remaining backoff of the runner when it was chosen and when the request was sent.
+  int64_t backoff_at_choice_ms_ = 0;
+  int64_t backoff_at_send_ms_ = 0;
+  /// What the current attempt's runner reported about itself in its response headers.
+  relay::RunnerNotice notice_;
+  /// Id of the last prefix source, for the log; empty if there was none.
+  std::string prefix_source_id_;
+  /// Runner from which the current attempt's runner copies the prompt prefix; null if none.
+  std::shared_ptr<relay::Runner> prefix_source_;
+  std::string last_event_id_;
+  /// When the request was sent in the current attempt; zero if it was not.
+  int64_t sent_ms_ = 0;
+  int64_t first_event_ms_ = 0;
+  int64_t last_event_ms_ = 0;
+  uint32_t events_ = 0;
+  /// The last error response of a runner, relayed to the caller if no other attempt succeeds.
+  std::optional<http::Response> failure_;
+  std::string last_error_;
+  AttemptEnd last_end_ = AttemptEnd::Unreachable;
+};
+
+} // namespace workshatch::daemon
--- a/src/daemon/relay/relay_answer.cc
+++ b/src/daemon/relay/active_request_answer.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The answer of a runner to one attempt, and its way to the caller.
+/// Handling of a runner's response to one attempt, and its relaying to the caller.
 #include <algorithm>
 #include <array>
 #include <utility>
@@ -8,20 +8,20 @@
 
 #include "adapters/logging/line_log.h"
 #include "core/header_text.h"
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 
 namespace workshatch::daemon {
 
 namespace {
 
-/// The rest of an answer that declines is read for so long, to keep the connection.
-constexpr std::chrono::milliseconds kRefusalLimit{300};
-constexpr size_t kMostPlainBytes = size_t{16} * 1024 * 1024;
+/// Timeout for reading the rest of a refusal, which allows the connection to be reused.
+constexpr std::chrono::milliseconds kRefusalReadTimeout{300};
+constexpr size_t kMaxPlainBytes = size_t{16} * 1024 * 1024;
 constexpr unsigned kServerErrors = 500;
 
 bool isSuccess(unsigned status) { return status >= 200 && status < 300; }
 
-/// Headers of a runner's answer that concern its connection only.
+/// @return whether the header concerns only the connection to the runner (hop-by-hop).
 bool isConnectionHeader(http::Field name) {
   constexpr std::array<http::Field, 7> kNames = {
       http::Field::connection,      http::Field::keep_alive,     http::Field::transfer_encoding,
@@ -32,40 +32,43 @@
 
 } // namespace
 
-/// The runner did not run the request. The rest of its answer is read only to keep the connection.
-http::awaitable<RelayRun::AttemptResult> RelayRun::takeRefusal(relay::AttemptOutcome outcome) {
+/// Handles a response which declares that the runner did not run the request. Reads the rest of it
+/// only to keep the connection reusable.
+http::awaitable<ActiveRequest::AttemptResult>
+ActiveRequest::handleRefusal(relay::AttemptOutcome outcome) {
   last_error_ = "declined with " + std::to_string(connection_->head().result_int());
   std::string rest = "-";
   while (!rest.empty()) {
-    auto part = co_await connection_->read(kRefusalLimit);
-    if (std::holds_alternative<http::CallError>(part)) {
+    auto chunk = co_await connection_->read(kRefusalReadTimeout);
+    if (std::holds_alternative<http::CallError>(chunk)) {
       connection_->close();
       break;
     }
-    rest = std::get<std::string>(part);
+    rest = std::get<std::string>(chunk);
   }
   co_return AttemptResult{.end = AttemptEnd::NotRun, .outcome = outcome};
 }
 
-http::awaitable<RelayRun::AttemptResult> RelayRun::takeAnswer(relay::Runner& runner) {
+http::awaitable<ActiveRequest::AttemptResult> ActiveRequest::handleAnswer(relay::Runner& runner) {
   const HeaderNames& names = state_.dialect.headers();
   const auto& head = connection_->head();
   const unsigned status = head.result_int();
   const auto id = http::fieldOf(head, names.request_id);
   const bool not_run = http::fieldOf(head, names.not_run).has_value();
   if (id && *id != request_.id) {
-    // A late second answer to an earlier request: nothing that follows can be trusted.
-    co_return broken("answer of another request");
+    // A late duplicate response to an earlier request. No later data on this connection can be
+    // attributed to a request reliably.
+    co_return broken("the response has the id of another request");
   }
   if (head.result() == http::Status::misdirected_request) {
-    co_return co_await takeRefusal(relay::AttemptOutcome::Misdirected);
+    co_return co_await handleRefusal(relay::AttemptOutcome::Misdirected);
   }
   if (not_run && head.result() != http::Status::bad_request) {
-    co_return co_await takeRefusal(relay::AttemptOutcome::Refused);
+    co_return co_await handleRefusal(relay::AttemptOutcome::Refused);
   }
   const bool signed_answer = http::fieldOf(head, names.signature).has_value();
   if (isSuccess(status) && (!signed_answer || !id)) {
-    co_return broken("success without signature");
+    co_return broken("successful response without a signature or a request id");
   }
   const std::string_view type = http::viewOf(head[http::Field::content_type]);
   const bool streaming = request_.route->kind == relay::RouteKind::Streaming && isSuccess(status) &&
@@ -74,12 +77,12 @@
     co_return co_await relayStream(runner);
   }
   if (stream_started_) {
-    co_return broken("no stream to go on with: " + std::to_string(status));
+    co_return broken("no stream to resume: status " + std::to_string(status));
   }
-  co_return co_await takePlainAnswer();
+  co_return co_await relayPlainAnswer();
 }
 
-http::Response RelayRun::answerHead() const {
+http::Response ActiveRequest::responseHead() const {
   const HeaderNames& names = state_.dialect.headers();
   const auto& head = connection_->head();
   http::Response response;
@@ -94,20 +97,20 @@
   return response;
 }
 
-http::awaitable<RelayRun::AttemptResult> RelayRun::takePlainAnswer() {
-  http::Response response = answerHead();
+http::awaitable<ActiveRequest::AttemptResult> ActiveRequest::relayPlainAnswer() {
+  http::Response response = responseHead();
   std::string body;
   while (true) {
-    auto part = co_await connection_->read(silenceLimit(false));
-    if (const auto* error = std::get_if<http::CallError>(&part)) {
+    auto chunk = co_await connection_->read(silenceTimeout(false));
+    if (const auto* error = std::get_if<http::CallError>(&chunk)) {
       co_return brokenBy(*error);
     }
-    const std::string& text = std::get<std::string>(part);
+    const std::string& text = std::get<std::string>(chunk);
     if (text.empty()) {
       break;
     }
     body += text;
-    if (body.size() > kMostPlainBytes) {
+    if (body.size() > kMaxPlainBytes) {
       co_return broken("the answer is too large");
     }
   }
@@ -115,7 +118,7 @@
   response.prepare_payload();
   const unsigned status = response.result_int();
   if (status >= kServerErrors) {
-    // A whole answer: the connection stays in use.
+    // The response is complete, so the connection stays open for reuse.
     last_error_ = "status " + std::to_string(status);
     failure_ = std::move(response);
     co_return AttemptResult{.end = AttemptEnd::Broken, .outcome = relay::AttemptOutcome::Failed};
@@ -125,18 +128,18 @@
   co_return AttemptResult{.end = AttemptEnd::Answered, .outcome = relay::AttemptOutcome::Succeeded};
 }
 
-http::awaitable<bool> RelayRun::relayEvent(const relay::WholeEvent& event) {
+http::awaitable<bool> ActiveRequest::relayEvent(const relay::CompleteEvent& event) {
   const int64_t now = state_.clock.monotonicMs();
   if (!stream_started_) {
     stream_started_ = true;
     first_event_ms_ = now;
     state_.stats.first_event.add(now - request_.received_ms);
-    http::Response head = answerHead();
+    http::Response head = responseHead();
     const bool started = co_await exchange_.startStream(std::move(head));
     if (!started) {
       co_return false;
     }
-    watchReader();
+    trackReader();
   } else {
     state_.stats.event_gap.add(now - last_event_ms_);
   }
@@ -147,65 +150,65 @@
     last_event_id_ = event.id;
   }
   exchange_.send(event.bytes);
-  if (state_.read_ahead.isFull(exchange_.heldBytes())) {
-    co_return co_await exchange_.drained(state_.read_ahead.lowBytes());
+  if (state_.read_ahead.isFull(exchange_.bufferedBytes())) {
+    co_return co_await exchange_.drainTo(state_.read_ahead.lowBytes());
   }
-  co_return exchange_.keepsUp();
+  co_return exchange_.isWritable();
 }
 
-/// Counts what is held for the caller from now on.
-void RelayRun::watchReader() {
+/// Starts the accounting of the bytes that are buffered for the caller.
+void ActiveRequest::trackReader() {
   reader_ = state_.read_ahead.open([weak = weak_from_this()] {
-    if (const auto run = weak.lock()) {
-      run->cutReader();
+    if (const auto self = weak.lock()) {
+      self->abortSlowReader();
     }
   });
-  exchange_.onHeldChange([weak = weak_from_this()] {
-    if (const auto run = weak.lock()) {
-      run->state_.read_ahead.note(run->reader_, run->exchange_.heldBytes(),
-                                  run->exchange_.takenBytes());
+  exchange_.onBufferedBytesChange([weak = weak_from_this()] {
+    if (const auto self = weak.lock()) {
+      self->state_.read_ahead.update(self->reader_, self->exchange_.bufferedBytes(),
+                                     self->exchange_.writtenBytes());
     }
   });
 }
 
-/// Ends the request: the memory that its caller's unread answer takes is needed for others.
-void RelayRun::cutReader() {
+/// Aborts the request to free the memory of its caller's unread response for other callers.
+void ActiveRequest::abortSlowReader() {
   line_log::write("reader_cut", {{"request", request_.id},
-                                 {"held_bytes", exchange_.heldBytes()},
-                                 {"read_bytes", exchange_.takenBytes()},
-                                 {"all_held_bytes", state_.read_ahead.heldBytes()},
+                                 {"held_bytes", exchange_.bufferedBytes()},
+                                 {"read_bytes", exchange_.writtenBytes()},
+                                 {"all_held_bytes", state_.read_ahead.bufferedBytes()},
                                  {"readers", state_.read_ahead.readers()}});
   reader_cut_ = true;
   exchange_.abort();
-  end();
+  interrupt();
 }
 
-http::awaitable<RelayRun::AttemptResult> RelayRun::relayStream(relay::Runner& runner) {
+http::awaitable<ActiveRequest::AttemptResult> ActiveRequest::relayStream(relay::Runner& runner) {
   relay::EventSplitter splitter;
   while (true) {
-    auto part = co_await connection_->read(silenceLimit(true));
-    if (const auto* error = std::get_if<http::CallError>(&part)) {
+    auto chunk = co_await connection_->read(silenceTimeout(true));
+    if (const auto* error = std::get_if<http::CallError>(&chunk)) {
       co_return brokenBy(*error);
     }
-    const std::string& text = std::get<std::string>(part);
+    const std::string& text = std::get<std::string>(chunk);
     if (text.empty()) {
       break;
     }
-    noteSignOfLife(runner);
+    recordActivity(runner);
     splitter.feed(text);
     while (const auto event = splitter.next()) {
-      if (ended()) {
+      if (interrupted()) {
         co_return broken(last_error_);
       }
       const bool written = co_await relayEvent(*event);
       if (!written) {
-        left_ = !reader_cut_;
+        caller_left_ = !reader_cut_;
         co_return broken(last_error_);
       }
     }
   }
   if (splitter.hasPartialEvent() || !stream_started_) {
-    co_return broken("the stream ended within an event");
+    co_return broken("the stream ended before or within an event");
   }
   co_await exchange_.finish();
   co_return AttemptResult{.end = AttemptEnd::Answered, .outcome = relay::AttemptOutcome::Succeeded};
--- /dev/null
+++ b/src/daemon/relay/active_request_attempt.cc
@@ -0,0 +1,320 @@
+/// @file
+/// One attempt of a request at a runner: connecting, sending, and recording the result.
+#include <algorithm>
+#include <utility>
+
+#include "adapters/logging/line_log.h"
+#include "daemon/relay/active_request.h"
+
+namespace workshatch::daemon {
+
+namespace {
+
+constexpr std::chrono::milliseconds kConnectTimeout{300};
+/// A repeatable request is sent to another runner if its runner sends nothing for this multiple of
+/// the latency objective, with the minimum below.
+constexpr int64_t kSilenceTimeoutObjectives = 2;
+constexpr int64_t kMinSilenceTimeoutMs = 400;
+constexpr std::chrono::milliseconds kStreamSilenceTimeout{1500};
+
+const char* nameOf(relay::AttemptOutcome outcome) {
+  switch (outcome) {
+  case relay::AttemptOutcome::Succeeded:
+    return "succeeded";
+  case relay::AttemptOutcome::Refused:
+    return "refused";
+  case relay::AttemptOutcome::Misdirected:
+    return "misdirected";
+  case relay::AttemptOutcome::Unreachable:
+    return "unreachable";
+  case relay::AttemptOutcome::ProcessGone:
+    return "process_gone";
+  case relay::AttemptOutcome::Withdrawn:
+    return "withdrawn";
+  case relay::AttemptOutcome::Failed:
+    return "failed";
+  case relay::AttemptOutcome::Abandoned:
+    return "abandoned";
+  }
+  return "unknown";
+}
+
+} // namespace
+
+void ActiveRequest::recordActivity(relay::Runner& runner) {
+  state_.runners.recordActivity(runner, state_.clock.monotonicMs());
+}
+
+/// Applies the notice in the headers of a response: what the runner reports about its state and
+/// about further requests to it.
+void ActiveRequest::applyNotice(relay::Runner& runner) {
+  const auto& head = connection_->head();
+  notice_ = state_.dialect.parseRunnerNotice(
+      ResponseHead{.status = head.result_int(),
+                   .field = [&head](std::string_view name) { return http::fieldOf(head, name); }});
+  state_.stats.recordNotice(notice_);
+  state_.runners.applyNotice(runner, notice_, state_.clock.monotonicMs());
+}
+
+void ActiveRequest::recordBackoffAtSend(const relay::Runner& runner) {
+  const int64_t now_ms = state_.clock.monotonicMs();
+  backoff_at_send_ms_ = runner.backoff.time.remainingMs(now_ms);
+  state_.stats.sent_in_backoff += runner.backoff.holds(now_ms) ? 1 : 0;
+}
+
+std::chrono::milliseconds ActiveRequest::silenceTimeout(bool streaming) const {
+  const bool another = state_.policy.silence_limits && request_.repeatable() &&
+                       ran_attempts_ + 1 < request_.route->max_attempts;
+  if (!another) {
+    return std::chrono::milliseconds(0);
+  }
+  if (streaming || request_.route->kind == relay::RouteKind::Streaming) {
+    return kStreamSilenceTimeout;
+  }
+  return std::chrono::milliseconds(
+      std::max(kMinSilenceTimeoutMs, kSilenceTimeoutObjectives * request_.route->objective_ms));
+}
+
+http::awaitable<ActiveRequest::ConnectOutcome> ActiveRequest::connect(const relay::Runner& runner) {
+  connection_ = state_.connections.acquire(runner.entry.address());
+  if (connection_) {
+    co_return ConnectOutcome::Connected;
+  }
+  const auto endpoint = http::parseEndpoint(runner.entry.address());
+  if (!endpoint) {
+    co_return ConnectOutcome::Failed;
+  }
+  connection_ = std::make_shared<http::RunnerConnection>(context_);
+  const auto error = co_await connection_->connect(*endpoint, kConnectTimeout);
+  if (!error) {
+    if (state_.crash_reporter) {
+      state_.crash_reporter->recordListening(runner);
+    }
+    co_return ConnectOutcome::Connected;
+  }
+  last_error_ = error->message;
+  co_return error->refused ? ConnectOutcome::Refused : ConnectOutcome::Failed;
+}
+
+/// Records the result of the attempt in the runner's state, in the counters and in the log.
+void ActiveRequest::recordAttemptEnd(relay::Runner& runner, const AttemptResult& result) {
+  if (result.end == AttemptEnd::Broken || result.end == AttemptEnd::Answered) {
+    may_have_run_ = true;
+    ++ran_attempts_;
+  }
+  declines_ += result.outcome == relay::AttemptOutcome::Refused ? 1 : 0;
+  const bool abandoned = interrupted() && result.end != AttemptEnd::Answered;
+  const relay::AttemptOutcome outcome =
+      abandoned ? relay::AttemptOutcome::Abandoned : result.outcome;
+  const int64_t now_ms = state_.clock.monotonicMs();
+  state_.runners.endAttempt(runner, outcome, now_ms);
+  if (request_.tenant != nullptr) {
+    state_.tenants.end(request_.tenant->name);
+  }
+  if (result.end == AttemptEnd::Answered) {
+    state_.retry_after_scheduler.recordCompletion(request_.service, now_ms);
+  }
+  state_.queue.wakeNext(request_.service);
+  ++state_.stats.attempts[nameOf(outcome)];
+  if (result.end != AttemptEnd::Answered) {
+    const int64_t backoff_asked_ms =
+        notice_.backoff_ms ? static_cast<int64_t>(*notice_.backoff_ms) : -1;
+    line_log::write("attempt_ended", {{"request", request_.id},
+                                      {"identity", relay::textOf(request_.identity)},
+                                      {"runner", runner.entry.id()},
+                                      {"runner_load", runner.load()},
+                                      {"outcome", nameOf(outcome)},
+                                      {"error", last_error_},
+                                      {"runner_failures", runner.failures_in_row},
+                                      {"last_resort", last_resort_},
+                                      {"backoff_at_choice_ms", backoff_at_choice_ms_},
+                                      {"backoff_at_send_ms", backoff_at_send_ms_},
+                                      {"backoff_asked_ms", backoff_asked_ms},
+                                      {"backoff_unreadable", notice_.backoff_rejected},
+                                      {"leaving", notice_.leaving}});
+  }
+}
+
+/// Returns the connection to the pool if it is reusable; closes it otherwise.
+void ActiveRequest::releaseConnection(const relay::Runner& runner) {
+  if (connection_ && connection_->reusable()) {
+    state_.connections.release(runner.entry.address(), connection_);
+  } else if (connection_) {
+    connection_->close();
+  }
+  connection_.reset();
+}
+
+http::awaitable<std::optional<http::CallError>>
+ActiveRequest::send(const relay::RunnerChoice& choice) {
+  if (sent_attempts_++ == 0) {
+    state_.runners.rollouts().recordSent(request_.service);
+  }
+  // The trial is used up by the send, whatever the result of the attempt.
+  trial_ = false;
+  sent_ms_ = state_.clock.monotonicMs();
+  const int64_t remaining_ms = request_.deadline_ms - state_.clock.monotonicMs();
+  std::string bytes = formatForRunner(
+      exchange_.request(), request_, state_,
+      AttemptHeaders{.runner_id = choice.runner->entry.id(),
+                     .remaining_ms = remaining_ms,
+                     .last_event_id = last_event_id_,
+                     .fetch_from = prefix_source_ ? prefix_source_->entry.address() : ""});
+  co_return co_await connection_->exchange(std::move(bytes), silenceTimeout(false));
+}
+
+relay::PromptTarget ActiveRequest::promptTarget(const relay::Runner& runner) const {
+  const auto copyUs = [&](uint64_t tokens) {
+    return static_cast<uint32_t>(request_.token_copy_us * static_cast<double>(tokens));
+  };
+  return relay::PromptTarget{.prefix = request_.cache_key,
+                             .parent = request_.parent_key,
+                             .runner = runner.fingerprint,
+                             .part_copy_us = copyUs(request_.cached_tokens),
+                             .parent_copy_us = copyUs(request_.parent_tokens)};
+}
+
+/// Starts the lookup of a source for the prompt's prefix, which runs while the connection is made.
+/// @return the lookup; nullopt if the prompt has no prefix or lookups are disabled.
+std::optional<PrefixClient::Lookup> ActiveRequest::lookUpPrefixSource(const relay::Runner& runner) {
+  const bool enabled = request_.cache_key != 0 && state_.prefix_client &&
+                       state_.policy.part_directory && state_.policy.fetch_cached_parts;
+  return enabled ? std::optional(state_.prefix_client->lookUpSource(promptTarget(runner)))
+                 : std::nullopt;
+}
+
+/// Completes the lookup of a prefix source. Without an answer from the directory, guesses the
+/// source from the relay's own tables.
+/// @return the source; null if there is none, or none in the permitted regions.
+http::awaitable<std::shared_ptr<relay::Runner>>
+ActiveRequest::awaitPrefixSource(std::optional<PrefixClient::Lookup> lookup,
+                                 const relay::RunnerChoice& choice) {
+  std::optional<relay::PrefixSource> answer;
+  if (lookup) {
+    answer = co_await lookup->answer();
+  }
+  if (!answer || !answer->known) {
+    co_return state_.runners.likelyPrefixSource(runnerRequest(), *choice.runner);
+  }
+  const auto source = state_.runners.find(answer->runner);
+  const bool allowed = source != nullptr && state_.runners.isHome(homeRegions(), *source);
+  co_return allowed ? source : nullptr;
+}
+
+/// Repeats the checks that may have changed since the runner was chosen: orders of operators,
+/// notices of the runner, and the deadline and the lease, which may have expired while the machine
+/// was suspended.
+/// @return whether the request may still be sent to the runner.
+bool ActiveRequest::mayBeSent(const relay::Runner& runner) {
+  checkDeadline();
+  if (runner.evacuated) {
+    last_error_ = "zone evacuated";
+    return false;
+  }
+  if (runner.isLeaving()) {
+    last_error_ = "runner is leaving";
+    return false;
+  }
+  if (relay::RunnerTable::isBackingOff(runner, state_.clock.monotonicMs())) {
+    last_error_ = "runner requested a backoff";
+    return false;
+  }
+  if (!state_.runners.isAdmittedByRollout(runner, trial_)) {
+    last_error_ = "version not admitted by the rollout";
+    return false;
+  }
+  if (inQuarantine()) {
+    last_error_ = "request in quarantine";
+    return false;
+  }
+  if (lostLease()) {
+    last_error_ = "lease expired";
+    return false;
+  }
+  return !interrupted();
+}
+
+http::awaitable<ActiveRequest::AttemptResult>
+ActiveRequest::callRunner(const relay::RunnerChoice& choice) {
+  relay::Runner& runner = *choice.runner;
+  auto lookup = lookUpPrefixSource(runner);
+  const ConnectOutcome connected = co_await connect(runner);
+  if (connected != ConnectOutcome::Connected || interrupted()) {
+    const bool gone = connected == ConnectOutcome::Refused;
+    co_return AttemptResult{.end = AttemptEnd::Unreachable,
+                            .outcome = gone ? relay::AttemptOutcome::ProcessGone
+                                            : relay::AttemptOutcome::Unreachable};
+  }
+  prefix_source_ = co_await awaitPrefixSource(std::move(lookup), choice);
+  prefix_source_id_ = prefix_source_ ? prefix_source_->entry.id() : "";
+  // There must be no suspension point between this check and the send.
+  if (!mayBeSent(runner)) {
+    co_return AttemptResult{.end = AttemptEnd::Withdrawn,
+                            .outcome = relay::AttemptOutcome::Withdrawn};
+  }
+  state_.runners.recordSent(runnerRequest(), choice);
+  recordBackoffAtSend(runner);
+  const auto error = co_await send(choice);
+  if (error) {
+    co_return brokenBy(*error);
+  }
+  recordActivity(runner);
+  applyNotice(runner);
+  co_return co_await handleAnswer(runner);
+}
+
+http::awaitable<ActiveRequest::AttemptEnd>
+ActiveRequest::attempt(const relay::RunnerChoice& choice) {
+  relay::Runner& runner = *choice.runner;
+  sent_ms_ = 0;
+  backoff_at_send_ms_ = 0;
+  notice_ = {};
+  state_.runners.beginAttempt(runner, state_.clock.monotonicMs());
+  if (request_.tenant != nullptr) {
+    state_.tenants.begin(request_.tenant->name);
+  }
+  const AttemptResult result = co_await callRunner(choice);
+  releaseConnection(runner);
+  slot_.release();
+  const bool reached = result.end == AttemptEnd::Answered || result.end == AttemptEnd::Broken;
+  if (!reached && request_.cache_key != 0 && state_.prefix_client) {
+    state_.prefix_client->reportNotSent(promptTarget(runner));
+  }
+  recordForQuarantine(runner, result);
+  recordForRollout(runner, result);
+  recordAttemptEnd(runner, result);
+  co_return result.end;
+}
+
+/// Ends an attempt in which the runner may have run the request without a complete response. Closes
+/// the connection, which is not reusable.
+ActiveRequest::AttemptResult ActiveRequest::broken(std::string error) {
+  last_error_ = std::move(error);
+  connection_->close();
+  return AttemptResult{.end = AttemptEnd::Broken, .outcome = relay::AttemptOutcome::Failed};
+}
+
+/// Same as `broken`, for an error of the connection.
+ActiveRequest::AttemptResult ActiveRequest::brokenBy(const http::CallError& error) {
+  const bool by_runner = !error.timed_out && !interrupted();
+  AttemptResult result = broken(error.timed_out ? "silent" : error.message);
+  result.closed_by_runner = by_runner;
+  return result;
+}
+
+/// Records evidence for or against a crash of the runner: that it closed or refused the connection,
+/// or that it completed the request.
+void ActiveRequest::recordForQuarantine(const relay::Runner& runner, const AttemptResult& result) {
+  if (!state_.crash_reporter) {
+    return;
+  }
+  if (result.closed_by_runner) {
+    state_.crash_reporter->recordDisconnect(runner, request_.identity);
+  } else if (result.outcome == relay::AttemptOutcome::ProcessGone) {
+    state_.crash_reporter->recordConnectionRefused(runner);
+  } else if (result.outcome == relay::AttemptOutcome::Succeeded) {
+    state_.crash_reporter->recordCompleted(request_.identity);
+  }
+}
+
+} // namespace workshatch::daemon
--- a/src/daemon/relay/control_link.cc
+++ b/src/daemon/relay/control_link.cc
@@ -11,15 +11,16 @@
 
 namespace {
 
-/// Without a confirmed lease the leader is sought more often.
-constexpr std::chrono::milliseconds kSeekPeriod{80};
-/// A link on which nothing comes for so long, or for so many periods, is given up.
-constexpr int64_t kSilentMs = 800;
-constexpr int64_t kSilentPeriods = 3;
-/// Attempts to reach a replica between two steps.
+/// Period of the steps while no leader has confirmed a renewal; shorter than the renewal period.
+constexpr std::chrono::milliseconds kLeaderSearchPeriod{80};
+/// A link is closed when nothing is received on it for the longer of this time and this number of
+/// renewal periods.
+constexpr int64_t kSilenceTimeoutMs = 800;
+constexpr int64_t kSilenceTimeoutPeriods = 3;
+/// Maximum number of connection attempts between two steps.
 constexpr uint32_t kDialsPerStep = 3;
-/// A replica that knows no leader is left after so many answers.
-constexpr uint32_t kMostUnconfirmed = 2;
+/// The link is closed after this many replies of a replica that knows no leader.
+constexpr uint32_t kMaxUnconfirmed = 2;
 
 } // namespace
 
@@ -45,7 +46,7 @@
 }
 
 void ControlLink::schedule() {
-  timer_.expires_after(confirmed_ ? renew_period_ : kSeekPeriod);
+  timer_.expires_after(confirmed_ ? renew_period_ : kLeaderSearchPeriod);
   timer_.async_wait([this](boost::system::error_code failure) {
     if (failure) {
       return;
@@ -63,9 +64,10 @@
     }
     return;
   }
-  noteBytes();
-  const int64_t silent_ms = std::max(kSilentMs, kSilentPeriods * renew_period_.count());
-  if (clock_.monotonicMs() - heard_at_ms_ > silent_ms) {
+  recordActivity();
+  const int64_t silent_ms =
+      std::max(kSilenceTimeoutMs, kSilenceTimeoutPeriods * renew_period_.count());
+  if (clock_.monotonicMs() - last_activity_ms_ > silent_ms) {
     drop("silent");
     dialNext();
     return;
@@ -73,11 +75,12 @@
   renew();
 }
 
-/// A large frame may take longer to arrive than a link may be silent.
-void ControlLink::noteBytes() {
+/// Counts received bytes instead of frames, since receiving one large frame may take longer than
+/// the silence timeout.
+void ControlLink::recordActivity() {
   const uint64_t bytes = link_->bytesReceived();
-  if (std::exchange(heard_bytes_, bytes) != bytes) {
-    heard_at_ms_ = clock_.monotonicMs();
+  if (std::exchange(last_received_bytes_, bytes) != bytes) {
+    last_activity_ms_ = clock_.monotonicMs();
   }
 }
 
@@ -122,7 +125,8 @@
 }
 
 void ControlLink::dialNext() {
-  // Addresses that refuse at once, and replicas that each name the other, must not make a loop.
+  // Prevents a busy loop when addresses refuse connections immediately or when two replicas each
+  // name the other one as the leader.
   if (dials_left_ == 0) {
     return;
   }
@@ -135,21 +139,23 @@
 
 void ControlLink::dial(const std::string& address) {
   dialing_ = true;
-  dialer_.dial(address, link::kDialLimit, [this, address](std::shared_ptr<link::FramedLink> link) {
-    dialing_ = false;
-    if (!link) {
-      dialNext();
-      return;
-    }
-    link_ = std::move(link);
-    link_address_ = address;
-    heard_at_ms_ = clock_.monotonicMs();
-    heard_bytes_ = 0;
-    unconfirmed_ = 0;
-    first_on_link_ = true;
-    link_->start([this](const v1::Frame& frame) { received(frame); }, [this] { drop("closed"); });
-    renew();
-  });
+  dialer_.dial(address, link::kDialTimeout,
+               [this, address](std::shared_ptr<link::FramedLink> link) {
+                 dialing_ = false;
+                 if (!link) {
+                   dialNext();
+                   return;
+                 }
+                 link_ = std::move(link);
+                 link_address_ = address;
+                 last_activity_ms_ = clock_.monotonicMs();
+                 last_received_bytes_ = 0;
+                 unconfirmed_ = 0;
+                 first_on_link_ = true;
+                 link_->start([this](const v1::Frame& frame) { onFrame(frame); },
+                              [this] { drop("closed"); });
+                 renew();
+               });
 }
 
 void ControlLink::drop(const char* reason) {
@@ -162,8 +168,8 @@
   }
 }
 
-/// A replica that had known no leader knows one now.
-void ControlLink::leaderNamed(const std::string& address) {
+/// Handles the announcement of a leader by a replica that knew none before.
+void ControlLink::onLeaderAnnounced(const std::string& address) {
   if (address == link_address_) {
     renew();
     return;
@@ -173,7 +179,7 @@
   dialNext();
 }
 
-void ControlLink::received(const v1::Frame& frame) {
+void ControlLink::onFrame(const v1::Frame& frame) {
   if (!frame.has_lease()) {
     return;
   }
@@ -182,7 +188,7 @@
     members_.assign(reply.members().begin(), reply.members().end());
   }
   if (reply.sequence() == 0 && !reply.leader_address().empty()) {
-    leaderNamed(reply.leader_address());
+    onLeaderAnnounced(reply.leader_address());
     return;
   }
   if (reply.renew_now()) {
@@ -193,8 +199,8 @@
     unconfirmed_ = 0;
     confirmed_ = true;
     if (reply.renew_period_ms() != 0) {
-      const int64_t told_ms = reply.renew_period_ms();
-      renew_period_ = std::chrono::milliseconds(std::min(told_ms, relay::kMostRenewalPeriodMs));
+      const int64_t requested_ms = reply.renew_period_ms();
+      renew_period_ = std::chrono::milliseconds(std::min(requested_ms, relay::kMaxRenewalPeriodMs));
     }
     on_reply_(reply);
     return;
@@ -203,7 +209,7 @@
   if (redirect) {
     hinted_leader_ = reply.leader_address();
   }
-  if (redirect || ++unconfirmed_ >= kMostUnconfirmed) {
+  if (redirect || ++unconfirmed_ >= kMaxUnconfirmed) {
     drop(redirect ? "not_leader" : "no_leader");
     dialNext();
   }
--- a/src/daemon/relay/relay_request.cc
+++ b/src/daemon/relay/relay_request.cc
@@ -15,21 +15,23 @@
 
 namespace {
 
-/// Bounds of when to come back while there is no lease: a group that lost all its processes gives
-/// leases again some 150 ms after they started; a longer silence is a cut, whose end nobody knows.
-constexpr int64_t kSoonestWithoutLeaseMs = 200;
-constexpr int64_t kLatestWithoutLeaseMs = 1000;
+/// Bounds of the retry delay while there is no lease. A group whose processes all crashed grants
+/// leases again about 150 ms after they start. A longer silence is a network partition, whose
+/// duration is unknown.
+constexpr int64_t kMinRetryWithoutLeaseMs = 200;
+constexpr int64_t kMaxRetryWithoutLeaseMs = 1000;
 constexpr uint32_t kRetryWhileStoppingMs = 50;
-constexpr uint32_t kMostPriority = 9;
-/// Priorities of a tenant lie this far apart, so that those of routes fit between.
-constexpr uint32_t kTenantStep = 3;
+constexpr uint32_t kMaxPriority = 9;
+/// Distance between the priorities of tenants, which leaves room for the priorities of routes.
+constexpr uint32_t kTenantPriorityStep = 3;
 
 bool sameName(std::string_view left, std::string_view right) {
   return boost::beast::iequals(boost::beast::string_view(left.data(), left.size()),
                                boost::beast::string_view(right.data(), right.size()));
 }
 
-/// Headers that concern one connection only, or that the relay sets itself.
+/// @return whether a caller's header must not be forwarded: it concerns one connection only, or the
+/// relay or the system sets it.
 bool isOwnHeader(std::string_view name, const HeaderNames& names) {
   constexpr std::array<std::string_view, 8> kConnectionHeaders = {
       "connection", "keep-alive", "transfer-encoding", "content-length",
@@ -42,7 +44,7 @@
          std::any_of(names.system_only.begin(), names.system_only.end(), same);
 }
 
-/// @return whether the Connection header names `name`.
+/// @return whether the Connection header lists `name`.
 bool namedByConnection(const http::Request& request, std::string_view name) {
   const auto connection = request.find(http::Field::connection);
   if (connection == request.end()) {
@@ -71,65 +73,67 @@
                        .request_id = id};
 }
 
-/// What has lasted for some time is taken to last for as long again.
+/// @return the retry delay: the time without a lease so far, within bounds. An outage is expected
+/// to last for about as long again as it has lasted.
 uint32_t retryWithoutLeaseMs(const RelayState& state, int64_t now_ms) {
   const int64_t silent_ms = state.lease.unconfirmedForMs(now_ms, state.started_ms);
   return static_cast<uint32_t>(
-      std::clamp(silent_ms, kSoonestWithoutLeaseMs, kLatestWithoutLeaseMs));
+      std::clamp(silent_ms, kMinRetryWithoutLeaseMs, kMaxRetryWithoutLeaseMs));
 }
 
-http::Problem outOfTouch(const RelayState& state, const RelayRequest& relayed) {
+http::Problem noLeaseRefusal(const RelayState& state, const RelayRequest& relayed) {
   return refusal(http::Status::service_unavailable, "no_lease",
                  "this relay has lost touch with the group", relayed.id,
                  retryWithoutLeaseMs(state, relayed.received_ms));
 }
 
-/// @return the milliseconds that the caller will wait; nothing: it did not say, or it can't be
-/// read.
-std::optional<int64_t> patienceMsOf(const http::Request& request, const HeaderNames& names) {
-  const auto told = http::fieldOf(request, names.deadline);
-  const auto told_ms = told ? millisecondsOf(*told, 1) : std::nullopt;
-  return told_ms ? std::optional<int64_t>(*told_ms) : std::nullopt;
+/// @return the caller's timeout in milliseconds; nullopt if its header is missing or can't be
+/// parsed.
+std::optional<int64_t> callerTimeoutMs(const http::Request& request, const HeaderNames& names) {
+  const auto header = http::fieldOf(request, names.deadline);
+  const auto caller_timeout_ms = header ? parseMilliseconds(*header, 1) : std::nullopt;
+  return caller_timeout_ms ? std::optional<int64_t>(*caller_timeout_ms) : std::nullopt;
 }
 
 void readPrompt(const http::Request& request, const RelayDialect& dialect, RelayRequest& relayed) {
-  const auto value = http::fieldOf(request, dialect.headers().prompt_parts);
+  const auto value = http::fieldOf(request, dialect.headers().prefix_blocks);
   if (!value) {
     return;
   }
-  const std::vector<PromptPart> parts = dialect.promptParts(*value);
+  const std::vector<PrefixBlock> blocks = dialect.parsePrefixBlocks(*value);
   constexpr size_t kSharedFromEnd = 2;
   uint64_t tokens = 0;
-  for (size_t i = 0; i + 1 < parts.size(); ++i) {
+  for (size_t i = 0; i + 1 < blocks.size(); ++i) {
     relayed.parent_tokens = tokens;
-    tokens += parts[i].tokens;
+    tokens += blocks[i].tokens;
     relayed.cached_tokens = tokens;
   }
-  if (parts.size() >= kSharedFromEnd) {
-    relayed.cache_key = routing::fingerprintOf(parts[parts.size() - kSharedFromEnd].id);
+  if (blocks.size() >= kSharedFromEnd) {
+    relayed.cache_key = routing::fingerprintOf(blocks[blocks.size() - kSharedFromEnd].id);
   }
-  if (parts.size() > kSharedFromEnd) {
-    relayed.parent_key = routing::fingerprintOf(parts[parts.size() - kSharedFromEnd - 1].id);
+  if (blocks.size() > kSharedFromEnd) {
+    relayed.parent_key = routing::fingerprintOf(blocks[blocks.size() - kSharedFromEnd - 1].id);
   }
 }
 
-/// @return microseconds in which an engine copies a token to another; zero: not known.
+/// @return microseconds that an engine needs to copy one token's cache to another; zero if unknown.
 double tokenCopyUs(const relay::Service& service) {
   constexpr double kBitsPerByte = 8;
-  // A Mbit/s is a bit in a microsecond.
+  // 1 Mbit/s is 1 bit per microsecond.
   return service.engine_link_mbps > 0
-             ? service.token_bytes * kBitsPerByte / service.engine_link_mbps
+             ? service.kv_token_bytes * kBitsPerByte / service.engine_link_mbps
              : 0;
 }
 
 uint32_t priorityOf(const RelayRequest& relayed) {
   const uint32_t of_tenant = relayed.tenant == nullptr ? 0 : relayed.tenant->priority;
-  return std::min(of_tenant * kTenantStep + std::min(relayed.route->priority, kTenantStep - 1),
-                  kMostPriority);
+  return std::min(of_tenant * kTenantPriorityStep +
+                      std::min(relayed.route->priority, kTenantPriorityStep - 1),
+                  kMaxPriority);
 }
 
 void appendHeader(std::string& out, std::string_view name, std::string_view value) {
-  // The one place where a header for a runner is written.
+  // All headers for runners pass this check, which prevents header injection.
   if (!isHeaderName(name) || !isHeaderValue(value)) {
     return;
   }
@@ -164,19 +168,19 @@
       state.routes->findRoute(http::viewOf(request[http::Field::host]), http::pathOf(target));
   const bool lease_holds = state.lease.holds(now_ms);
   const bool lease_is_fresh = state.lease.isFresh(now_ms);
-  // With an older lease the configuration may be old: what it lacks may have been added since.
+  // If the lease is not fresh, a route that is missing here may have been added in the meantime.
   if (relayed.route == nullptr && lease_is_fresh) {
     return refusal(http::Status::not_found, "no_route", "no route for this host and path", id);
   }
   const bool needs_key = !state.routes->configuration().tenants.empty() &&
                          (relayed.route == nullptr || !relayed.route->anonymous);
   if (relayed.route == nullptr || (needs_key && !lease_holds)) {
-    return outOfTouch(state, relayed);
+    return noLeaseRefusal(state, relayed);
   }
   if (needs_key) {
     relayed.tenant = state.routes->findTenant(http::fieldOf(request, names.key).value_or(""));
     if (relayed.tenant == nullptr && !lease_is_fresh) {
-      return outOfTouch(state, relayed);
+      return noLeaseRefusal(state, relayed);
     }
     if (relayed.tenant == nullptr) {
       return refusal(http::Status::unauthorized, "unknown_key", "the key is not known", id);
@@ -185,18 +189,18 @@
   relayed.identity =
       relay::identityOf(relayed.tenant == nullptr ? "" : relayed.tenant->name,
                         http::viewOf(request.method_string()), target, request.body());
-  relayed.standing.draw = routing::fingerprintOf(id);
-  relayed.service = relay::RouteTable::pickService(*relayed.route, relayed.standing.draw);
+  relayed.rank.draw = routing::fingerprintOf(id);
+  relayed.service = relay::RouteTable::pickService(*relayed.route, relayed.rank.draw);
   const int64_t allowed_ms = relayed.route->timeout_ms;
-  const int64_t told_ms = patienceMsOf(request, names).value_or(allowed_ms);
-  relayed.deadline_ms = relayed.received_ms + std::min(told_ms, allowed_ms);
+  const int64_t caller_timeout_ms = callerTimeoutMs(request, names).value_or(allowed_ms);
+  relayed.deadline_ms = relayed.received_ms + std::min(caller_timeout_ms, allowed_ms);
   readPrompt(request, state.dialect, relayed);
   const relay::Service* service = state.routes->findService(relayed.service);
   relayed.engine = service != nullptr && service->model_engine;
   relayed.token_copy_us = service == nullptr ? 0 : tokenCopyUs(*service);
-  relayed.standing.priority = priorityOf(relayed);
-  relayed.standing.over_share = state.policy.tenant_shares && relayed.tenant != nullptr &&
-                                state.tenants.overShare(relayed.tenant->name);
+  relayed.rank.priority = priorityOf(relayed);
+  relayed.rank.over_share = state.policy.tenant_shares && relayed.tenant != nullptr &&
+                            state.tenants.overShare(relayed.tenant->name);
   return relayed;
 }
 
@@ -204,8 +208,8 @@
   if (state.lease.everConfirmed() || !state.policy.first_lease_wait) {
     return 0;
   }
-  const auto patience_ms = patienceMsOf(request, state.dialect.headers());
-  return relay::firstLeaseWaitMs(received_ms - state.started_ms, patience_ms.value_or(0));
+  const auto caller_timeout_ms = callerTimeoutMs(request, state.dialect.headers());
+  return relay::firstLeaseWaitMs(received_ms - state.started_ms, caller_timeout_ms.value_or(0));
 }
 
 std::string formatForRunner(const http::Request& request, const RelayRequest& relayed,
@@ -225,7 +229,7 @@
   }
   appendHeader(out, names.deadline, std::to_string(std::max<int64_t>(attempt.remaining_ms, 1)));
   appendHeader(out, names.target_runner, attempt.runner_id);
-  appendHeader(out, names.priority, std::to_string(relayed.standing.priority));
+  appendHeader(out, names.priority, std::to_string(relayed.rank.priority));
   if (relayed.tenant != nullptr) {
     appendHeader(out, names.tenant, relayed.tenant->name);
   }
--- /dev/null
+++ b/src/daemon/relay/runner_crash_reporter.h
@@ -0,0 +1,68 @@
+/// @file
+/// Detects crashes of runners and reports to the leader which requests were in progress at them.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+
+#include <boost/asio/io_context.hpp>
+
+#include "adapters/http/http_types.h"
+#include "core/relay/runner.h"
+#include "core/relay/runner_crash_monitor.h"
+#include "ports/clock.h"
+
+namespace workshatch::daemon {
+
+/// Collects evidence of crashes. A runner that closes the connection of a request in progress is
+/// probed with a new connection, which is refused if its process has crashed. Must be owned by a
+/// shared_ptr. Lives on the relay's event loop; not safe for concurrent use.
+class RunnerCrashReporter : public std::enable_shared_from_this<RunnerCrashReporter> {
+public:
+  /// Totals since the start of the process.
+  struct Counts {
+    /// Connection attempts that probe whether a runner still listens, and how many were refused.
+    uint64_t probes = 0;
+    uint64_t refused = 0;
+    /// Times that the leader was to be notified of crashes.
+    uint64_t reports = 0;
+  };
+
+  /// @param notify_leader called when there are reports for the next renewal, which should be sent
+  /// without delay
+  RunnerCrashReporter(boost::asio::io_context& context, const Clock& clock,
+                      std::function<void()> notify_leader)
+      : context_(context), clock_(clock), notify_leader_(std::move(notify_leader)) {}
+
+  /// Records that the runner closed the connection of a request in progress, and probes the runner
+  /// if necessary.
+  void recordDisconnect(const relay::Runner& runner, const relay::RequestIdentity& request);
+  /// Records that the runner's address refused or accepted a connection.
+  void recordConnectionRefused(const relay::Runner& runner);
+  void recordListening(const relay::Runner& runner);
+  /// Records that a runner completed the request successfully.
+  void recordCompleted(const relay::RequestIdentity& request);
+  /// @return whether a runner completed the request recently.
+  bool completedRecently(const relay::RequestIdentity& request);
+
+  /// Adds the reports that the leader does not have yet to a renewal. @param first_on_link whether
+  /// the renewal is the first on its link, so that the leader may have none of the reports
+  void fill(v1::LeaseRenewal& renewal, bool first_on_link);
+
+  const Counts& counts() const { return counts_; }
+
+private:
+  http::awaitable<void> probe(uint64_t runner, std::string address);
+  void onConnectionRefused(uint64_t runner);
+  void notifyLeader();
+
+  boost::asio::io_context& context_;
+  const Clock& clock_;
+  const std::function<void()> notify_leader_;
+  relay::RunnerCrashMonitor monitor_;
+  Counts counts_;
+};
+
+} // namespace workshatch::daemon
--- /dev/null
+++ b/src/daemon/relay/slot_client.cc
@@ -0,0 +1,163 @@
+#include "daemon/relay/slot_client.h"
+
+namespace workshatch::daemon {
+
+namespace asio = boost::asio;
+
+namespace {
+
+/// Period of the search for counts that other relays no longer report.
+constexpr int64_t kExpiryPeriodMs = 500;
+
+} // namespace
+
+SlotGuard& SlotGuard::operator=(SlotGuard&& other) noexcept {
+  if (this != &other) {
+    release();
+    client_ = std::move(other.client_);
+    other.client_.reset();
+    runner_ = other.runner_;
+  }
+  return *this;
+}
+
+void SlotGuard::release() {
+  if (const auto client = std::exchange(client_, {}).lock()) {
+    client->release(runner_);
+  }
+}
+
+SlotClient::SlotClient(std::shared_ptr<RelayPeers> peers, const Clock& clock, uint32_t incarnation,
+                       RunnerSource runner_source)
+    : peers_(std::move(peers)), clock_(clock), used_slots_(incarnation),
+      runner_source_(std::move(runner_source)) {
+  peers_->onFrame(v1::Frame::kPlaceClaim, [this](const v1::Frame& frame, const std::string& from) {
+    answerClaim(frame.place_claim(), from);
+  });
+  peers_->onFrame(v1::Frame::kPlaceUse, [this](const v1::Frame& frame, const std::string& from) {
+    owner_.recordUsage(from, frame.place_use(), clock_.monotonicMs());
+  });
+  peers_->onAnswer(v1::Frame::kPlaceAnswer,
+                   [](const v1::Frame& frame) { return frame.place_answer().sequence(); });
+  peers_->observeRelayList(RelayPeers::RelayListObserver{
+      .before = [this] { recordOwners(); },
+      .after = [this](const std::vector<std::string>& removed) { reportToNewOwners(removed); }});
+}
+
+void SlotClient::recordOwners() {
+  previous_owners_.clear();
+  for (const uint64_t runner : used_slots_.runners()) {
+    const std::string* owner = peers_->ownerOf(runner);
+    previous_owners_[runner] = owner == nullptr ? "" : *owner;
+  }
+}
+
+void SlotClient::reportToNewOwners(const std::vector<std::string>& removed) {
+  owner_.recordOwnersChanged(clock_.monotonicMs());
+  for (const std::string& relay : removed) {
+    // A relay that crashed uses no slots; one that is stopping is about to release its slots.
+    owner_.dropRelay(relay);
+  }
+  for (const auto& [runner, before] : previous_owners_) {
+    const std::string* owner = peers_->ownerOf(runner);
+    if (owner != nullptr && *owner != before) {
+      reportToOwner(runner);
+    }
+  }
+}
+
+SlotClaimResult SlotClient::resultOf(uint64_t runner, const relay::SlotOwner::Decision& decision) {
+  ++(decision.granted ? counts_.granted : counts_.refused);
+  counts_.held_back += decision.wait_ms != 0 ? 1 : 0;
+  if (decision.granted) {
+    used_slots_.add(runner);
+  }
+  return SlotClaimResult{.verdict = decision.granted ? SlotVerdict::Granted : SlotVerdict::Refused,
+                         .load = decision.load,
+                         .wait_ms = decision.wait_ms,
+                         .slot =
+                             decision.granted ? SlotGuard(weak_from_this(), runner) : SlotGuard()};
+}
+
+asio::awaitable<SlotClaimResult> SlotClient::claim(uint64_t runner, uint32_t limit,
+                                                   uint32_t cold_ms) {
+  const int64_t now_ms = clock_.monotonicMs();
+  const std::string* owner_address = peers_->ownerOf(runner);
+  if (owner_address == nullptr || peers_->isSilent(*owner_address)) {
+    ++counts_.unanswered;
+    co_return SlotClaimResult{};
+  }
+  const std::string owner = *owner_address;
+  v1::Frame frame;
+  v1::PlaceClaim& claim = *frame.mutable_place_claim();
+  *claim.mutable_use() = used_slots_.makeReport(runner, now_ms);
+  claim.set_limit(limit);
+  claim.set_cold_ms(cold_ms);
+  if (owner == peers_->ownAddress()) {
+    co_return resultOf(runner, owner_.claim(owner, claim, runner_source_(runner), now_ms));
+  }
+  PeerCall call(peers_, owner,
+                AnswerKey{.kind = v1::Frame::kPlaceAnswer, .sequence = claim.use().sequence()},
+                frame);
+  const v1::Frame* answer = co_await call.answer();
+  if (answer == nullptr) {
+    ++counts_.unanswered;
+    co_return SlotClaimResult{};
+  }
+  co_return resultOf(runner,
+                     relay::SlotOwner::Decision{.granted = answer->place_answer().granted(),
+                                                .load = answer->place_answer().load(),
+                                                .wait_ms = answer->place_answer().wait_ms()});
+}
+
+SlotGuard SlotClient::takeWithoutClaim(uint64_t runner) {
+  used_slots_.add(runner);
+  reportToOwner(runner);
+  return {weak_from_this(), runner};
+}
+
+void SlotClient::release(uint64_t runner) {
+  used_slots_.remove(runner);
+  reportToOwner(runner);
+}
+
+void SlotClient::reportToOwner(uint64_t runner) {
+  const std::string* owner = peers_->ownerOf(runner);
+  if (owner == nullptr) {
+    return;
+  }
+  const int64_t now_ms = clock_.monotonicMs();
+  v1::Frame frame;
+  *frame.mutable_place_use() = used_slots_.makeReport(runner, now_ms);
+  if (*owner == peers_->ownAddress()) {
+    owner_.recordUsage(*owner, frame.place_use(), now_ms);
+  } else {
+    peers_->send(*owner, frame);
+  }
+}
+
+void SlotClient::tick() {
+  const int64_t now_ms = clock_.monotonicMs();
+  for (const uint64_t runner : used_slots_.dueRunners(now_ms)) {
+    reportToOwner(runner);
+  }
+  if (now_ms >= next_expiry_ms_) {
+    next_expiry_ms_ = now_ms + kExpiryPeriodMs;
+    owner_.dropStale(now_ms);
+  }
+}
+
+void SlotClient::answerClaim(const v1::PlaceClaim& claim, const std::string& from) {
+  const auto decision =
+      owner_.claim(from, claim, runner_source_(claim.use().runner()), clock_.monotonicMs());
+  ++counts_.answered;
+  v1::Frame frame;
+  v1::PlaceAnswer& answer = *frame.mutable_place_answer();
+  answer.set_sequence(claim.use().sequence());
+  answer.set_granted(decision.granted);
+  answer.set_load(decision.load);
+  answer.set_wait_ms(decision.wait_ms);
+  peers_->send(from, frame);
+}
+
+} // namespace workshatch::daemon
--- /dev/null
+++ b/src/daemon/relay/slot_client.h
@@ -0,0 +1,129 @@
+/// @file
+/// Claims and releases slots at runners through the relays that own them, and answers the claims
+/// for slots that this relay owns.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <boost/asio/awaitable.hpp>
+
+#include "core/relay/slot_owner.h"
+#include "core/relay/slot_usage.h"
+#include "daemon/relay/relay_peers.h"
+#include "ports/clock.h"
+
+namespace workshatch::daemon {
+
+class SlotClient;
+
+/// Guard of one slot at a runner; releases the slot when it is destroyed. It may outlive the
+/// client.
+class SlotGuard {
+public:
+  /// Creates a guard without a slot.
+  SlotGuard() = default;
+  SlotGuard(std::weak_ptr<SlotClient> client, uint64_t runner)
+      : client_(std::move(client)), runner_(runner) {}
+  ~SlotGuard() { release(); }
+  SlotGuard(SlotGuard&& other) noexcept
+      : client_(std::move(other.client_)), runner_(other.runner_) {
+    other.client_.reset();
+  }
+  SlotGuard& operator=(SlotGuard&& other) noexcept;
+  SlotGuard(const SlotGuard&) = delete;
+  SlotGuard& operator=(const SlotGuard&) = delete;
+
+  void release();
+
+private:
+  std::weak_ptr<SlotClient> client_;
+  uint64_t runner_ = 0;
+};
+
+enum class SlotVerdict {
+  Granted,
+  /// The runner has reached the limit of the claim, or currently gives out no slots.
+  Refused,
+  /// No owner is known, or the owner did not answer in time.
+  Unanswered,
+};
+
+struct SlotClaimResult {
+  SlotVerdict verdict = SlotVerdict::Unanswered;
+  /// Requests in progress at the runner, including a granted one; not set if unanswered.
+  uint32_t load = 0;
+  /// Nonzero if the claim was refused for another reason than its limit: milliseconds for which the
+  /// runner gives out no slots.
+  uint32_t wait_ms = 0;
+  /// Guards a slot only if the claim was granted.
+  SlotGuard slot;
+};
+
+/// Claims slots from their owners, answers the claims of other relays, and reports to the owners
+/// how many slots this relay uses. Lives on the relay's event loop; not safe for concurrent use.
+///
+/// Guarantee: a failure of this protocol never prevents a request from being served. If an owner
+/// does not answer, the relay can decide by the load totals that the leader distributes.
+class SlotClient : public std::enable_shared_from_this<SlotClient> {
+public:
+  /// Looks up a runner, by fingerprint, in this relay's own tables.
+  using RunnerSource = std::function<relay::OwnedRunner(uint64_t runner)>;
+
+  /// Totals since the start of the process.
+  struct Counts {
+    uint64_t granted = 0;
+    uint64_t refused = 0;
+    /// Refused claims whose reason was a cold runner or an evacuated zone.
+    uint64_t held_back = 0;
+    uint64_t unanswered = 0;
+    /// Claims of other relays that this relay answered.
+    uint64_t answered = 0;
+  };
+
+  SlotClient(std::shared_ptr<RelayPeers> peers, const Clock& clock, uint32_t incarnation,
+             RunnerSource runner_source);
+
+  /// Claims a slot from the runner's owner.
+  /// @param limit maximum number of requests in progress at the runner, including this one
+  /// @param cold_ms milliseconds for which the runner stays cold according to this relay
+  boost::asio::awaitable<SlotClaimResult> claim(uint64_t runner, uint32_t limit,
+                                                uint32_t cold_ms = 0);
+  /// Takes a slot regardless of the runner's limit, and reports it to the owner.
+  SlotGuard takeWithoutClaim(uint64_t runner);
+
+  /// Repeats the reports to owners that are due, and removes the counts of other relays that were
+  /// not reported again in time. To be called often.
+  void tick();
+
+  const Counts& counts() const { return counts_; }
+  /// Number of runners for which this relay, as their owner, counts slots.
+  size_t ownedRunners() const { return owner_.runnerCount(); }
+
+private:
+  friend class SlotGuard;
+
+  void recordOwners();
+  void reportToNewOwners(const std::vector<std::string>& removed);
+  void release(uint64_t runner);
+  void reportToOwner(uint64_t runner);
+  void answerClaim(const v1::PlaceClaim& claim, const std::string& from);
+  SlotClaimResult resultOf(uint64_t runner, const relay::SlotOwner::Decision& decision);
+
+  const std::shared_ptr<RelayPeers> peers_;
+  const Clock& clock_;
+  relay::SlotUsage used_slots_;
+  relay::SlotOwner owner_;
+  const RunnerSource runner_source_;
+  /// Owners, before a change of the relay list, of the runners at which this relay uses slots.
+  std::map<uint64_t, std::string> previous_owners_;
+  int64_t next_expiry_ms_ = 0;
+  Counts counts_;
+};
+
+} // namespace workshatch::daemon
--- a/src/daemon/router/permit_client.h
+++ b/src/daemon/router/permit_client.h
@@ -1,5 +1,6 @@
 /// @file
-/// Permits from the owners of engines, here or on another router.
+/// Requests permits from the owners of engines on this or other routers, and handles the datagrams
+/// that routers exchange about permits.
 #pragma once
 
 #include <atomic>
@@ -17,8 +18,8 @@
 
 namespace workshatch::daemon {
 
-/// What a request needs a permit for.
-struct PermitWish {
+/// Input of a permit request.
+struct PermitParameters {
   /// Id of the caller's request.
   std::string request_id;
   routing::EngineInfo engine;
@@ -26,13 +27,14 @@
   uint64_t cost = 1;
   uint64_t session = 0;
   int32_t priority = 0;
-  /// How long the request may wait at the owner; zero: it does not wait.
+  /// How long the request may wait in the owner's queue; zero if it must not wait.
   uint32_t wait_ms = 0;
+  /// Whether the owner must not redirect the session to another engine.
   bool no_redirect = false;
 };
 
-/// Answer of an owner, or that none came.
-struct PermitAnswer {
+/// An owner's reply to a permit request. The verdict is unspecified if the owner did not reply.
+struct PermitResult {
   v1::PermitId permit;
   v1::PermitVerdict verdict = v1::PERMIT_VERDICT_UNSPECIFIED;
   std::string redirect_engine;
@@ -40,34 +42,37 @@
   std::string owner;
 };
 
-/// Asks owners for permits and answers other routers' requests. Safe for concurrent use.
+/// Requests permits from owners, and answers other routers' requests for permits. Safe for
+/// concurrent use.
 ///
-/// Guarantees: a permit that is granted here is either returned to the caller or released; a
-/// release is sent until the owner has acknowledged it or left the view.
+/// Guarantees: a permit granted to this router is either returned to the caller or released. A
+/// release is sent repeatedly until the owner has acknowledged it or left the view.
 class PermitClient {
 public:
   PermitClient(std::string name, uint64_t incarnation, RouterTables& tables,
                datagram::PeerSocket& socket, const Clock& clock, metrics::RouterStats& stats,
                uint32_t timeout_ms);
 
-  boost::asio::awaitable<PermitAnswer> acquire(PermitWish wish);
+  boost::asio::awaitable<PermitResult> acquire(PermitParameters parameters);
   void release(const v1::PermitId& permit);
-  /// Tells the owner of the engine that the session ranks first where the session went.
-  void sessionMoved(const routing::EngineInfo& first, uint64_t session, const std::string& engine);
+  /// Reports to the owner of the session's first-choice engine on which engine the session runs.
+  void recordSessionMove(const routing::EngineInfo& first_choice, uint64_t session,
+                         const std::string& engine);
 
-  /// Handles a datagram of another router; runs on the socket's worker.
+  /// Handles a datagram from another router. Called on the socket's worker thread.
   void receive(const v1::PeerDatagram& datagram);
 
-  /// Answers waiters, sends releases again, reports held permits under a new view. Runs often on
-  /// one worker.
+  /// Sends due replies to queued requests, repeats unacknowledged releases, and reports held
+  /// permits after a change of view. Called periodically on one worker thread.
   void tick();
 
 private:
-  struct Pending {
-    explicit Pending(const boost::asio::any_io_executor& own) : executor(own), timer(own) {}
+  struct PendingRequest {
+    explicit PendingRequest(const boost::asio::any_io_executor& worker_executor)
+        : executor(worker_executor), timer(worker_executor) {}
     boost::asio::any_io_executor executor;
     boost::asio::steady_timer timer;
-    /// Both belong to the executor.
+    /// `answered` and `reply` are accessed only on `executor`.
     bool answered = false;
     v1::PermitReply reply;
   };
@@ -77,23 +82,23 @@
     std::string zone;
   };
 
-  /// Part of the permits held here whose engines have a new owner.
+  /// Permits held here that one datagram reports to the new owner of their engines.
   struct HeldReport {
     std::string address;
     std::vector<v1::HeldPermit> permits;
   };
 
-  v1::PermitRequest requestFor(const PermitWish& wish);
-  boost::asio::awaitable<void> awaitReply(std::shared_ptr<Pending> pending,
+  v1::PermitRequest requestFor(const PermitParameters& parameters);
+  boost::asio::awaitable<void> awaitReply(std::shared_ptr<PendingRequest> pending,
                                           std::chrono::milliseconds timeout);
-  boost::asio::awaitable<v1::PermitReply> ask(const v1::PermitRequest& request,
-                                              const std::string& owner_address, bool local);
-  void answered(const v1::PermitReply& reply);
+  boost::asio::awaitable<v1::PermitReply>
+  requestPermit(const v1::PermitRequest& request, const std::string& owner_address, bool local);
+  void deliverReply(const v1::PermitReply& reply);
   void sendReply(const std::string& router, const v1::PermitReply& reply);
   void sendRelease(const PendingRelease& release);
   void receiveRequest(const v1::PeerDatagram& datagram);
-  void receiveHeld(const v1::PeerDatagram& datagram);
-  void deliverOwnerReplies();
+  void receiveHeldPermits(const v1::PeerDatagram& datagram);
+  void sendDueReplies();
   void reportHeldPermits();
   void prepareReports(const v1::View& view);
   std::string addressOf(const std::string& router) const;
@@ -109,11 +114,12 @@
 
   std::mutex mutex_;
   /// By permit sequence. Guarded by mutex_.
-  std::map<uint64_t, std::shared_ptr<Pending>> pending_;
+  std::map<uint64_t, std::shared_ptr<PendingRequest>> pending_requests_;
   /// Releases not acknowledged yet. Guarded by mutex_.
-  std::map<uint64_t, PendingRelease> releases_;
-  /// Reports under `report_view_` that are not acknowledged, by number. Guarded by mutex_.
-  std::map<uint64_t, HeldReport> reports_;
+  std::map<uint64_t, PendingRelease> pending_releases_;
+  /// Reports for the view `report_view_` that are not acknowledged yet, by sequence number. Guarded
+  /// by mutex_.
+  std::map<uint64_t, HeldReport> pending_reports_;
   uint64_t report_view_ = 0;
 };
 
--- a/src/scenario/main.cc
+++ b/src/scenario/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// workshatch-scenario: runs scenario files against real processes.
+/// workshatch-scenario: runs scenario files, or random scenarios, against real processes.
 #include <chrono>
 #include <cstdio>
 #include <filesystem>
@@ -46,7 +46,7 @@
   return scenario::parseScript(path, content.str());
 }
 
-/// Writes the scenario of a seed to a file that replays it.
+/// Generates the random scenario of a seed and writes it to a file, which can be replayed.
 Result<scenario::Script> drawScript(uint64_t seed) {
   const std::string text = scenario::soakScript(
       scenario::SoakPlan{.seed = seed, .steps = FLAGS_steps, .network = FLAGS_network});
@@ -64,7 +64,7 @@
   const scenario::RunOptions options{.programs = FLAGS_programs,
                                      .folder = FLAGS_folder,
                                      .seed = seed,
-                                     .without_ledger = FLAGS_without == "ledger"};
+                                     .all_routes_repeatable = FLAGS_without == "ledger"};
   const auto started = std::chrono::steady_clock::now();
   scenario::ScenarioRun run(script, options);
   const scenario::ScenarioResult result = run.run();
--- a/src/scenario/process.cc
+++ b/src/scenario/process.cc
@@ -19,25 +19,26 @@
 
 namespace {
 
-constexpr int kExecFailed = 127;
-/// Exit code of a process that a signal ended, as shells count it.
-constexpr int kSignalBase = 128;
+constexpr int kExecFailedExitCode = 127;
+/// Added to the signal number for the exit code of a process ended by a signal, as shells do.
+constexpr int kSignalExitCodeBase = 128;
 
-/// Runs in the child: nothing but system calls.
+/// Runs in the child between fork and exec, where only async-signal-safe functions are allowed.
 [[noreturn]] void runChild(const std::vector<char*>& arguments, int log) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   sigset_t none;
   sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
-  // A write beyond the limit fails then, as on a full disk, and does not end the process.
+  // With SIGXFSZ ignored, a write beyond the file size limit fails, as on a full disk, instead of
+  // ending the process.
   ::signal(SIGXFSZ, SIG_IGN);
   ::dup2(log, STDERR_FILENO);
   ::dup2(log, STDOUT_FILENO);
-  // The driver's own connections, which its callers made without close-on-exec: held here too, they
-  // would stay open after the driver has closed them.
+  // Close the driver's connections, which are opened without close-on-exec. If the child inherited
+  // them, they would stay open after the driver has closed them.
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
   ::execv(arguments.front(), arguments.data());
-  ::_exit(kExecFailed);
+  ::_exit(kExecFailedExitCode);
 }
 
 } // namespace
@@ -49,23 +50,23 @@
 
 Result<std::monostate> Process::start() {
   if (running()) {
-    return Error{"is running already"};
+    return Error{"is already running"};
   }
   std::vector<char*> arguments;
   for (const std::string& word : command_) {
     arguments.push_back(const_cast<char*>(word.c_str()));
   }
   arguments.push_back(nullptr);
-  std::array<int, 2> ends{-1, -1};
-  if (::pipe2(ends.data(), O_CLOEXEC) != 0) {
+  std::array<int, 2> pipe_ends{-1, -1};
+  if (::pipe2(pipe_ends.data(), O_CLOEXEC) != 0) {
     return Error{std::string("cannot make a pipe: ") + std::strerror(errno)};
   }
   pid_ = ::fork();
   if (pid_ == 0) {
-    runChild(arguments, ends[1]);
+    runChild(arguments, pipe_ends[1]);
   }
-  ::close(ends[1]);
-  log_ = std::make_unique<LogCopier>(ends[0], log_path_);
+  ::close(pipe_ends[1]);
+  log_ = std::make_unique<LogCopier>(pipe_ends[0], log_path_);
   if (pid_ < 0) {
     pid_ = 0;
     return Error{std::string("cannot start a process: ") + std::strerror(errno)};
@@ -78,9 +79,9 @@
   if (pid_ == 0 || ::waitpid(pid_, &status, wait ? 0 : WNOHANG) != pid_) {
     return;
   }
-  exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : kSignalBase + WTERMSIG(status);
+  exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : kSignalExitCodeBase + WTERMSIG(status);
   pid_ = 0;
-  // The log is whole from here on.
+  // Waits until the log is complete.
   log_.reset();
 }
 
@@ -89,7 +90,7 @@
   return pid_ != 0;
 }
 
-bool Process::ended() { return !running(); }
+bool Process::hasExited() { return !running(); }
 
 void Process::kill() {
   if (running()) {
@@ -113,35 +114,34 @@
 Result<std::monostate> Process::limitFileSize(uint64_t bytes) {
   const rlimit limit{.rlim_cur = bytes, .rlim_max = RLIM_INFINITY};
   if (!running() || ::prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr) != 0) {
-    return Error{std::string("cannot limit its files: ") + std::strerror(errno)};
+    return Error{std::string("cannot set its file size limit: ") + std::strerror(errno)};
   }
   return std::monostate{};
 }
 
 Result<std::monostate> Process::unlimitFileSize() { return limitFileSize(RLIM_INFINITY); }
 
-std::optional<Footprint> Process::footprint() {
+std::optional<ResourceUsage> Process::resourceUsage() {
   if (!running()) {
     return std::nullopt;
   }
   const std::string folder = "/proc/" + std::to_string(pid_);
-  Footprint footprint;
+  ResourceUsage usage;
   std::ifstream status(folder + "/status");
   const std::string name = "VmRSS:";
   for (std::string line; std::getline(status, line);) {
     if (line.starts_with(name)) {
-      footprint.memory_kb = std::stoull(line.substr(name.size()));
+      usage.memory_kb = std::stoull(line.substr(name.size()));
     }
   }
   std::error_code failure;
   const std::filesystem::directory_iterator descriptors(folder + "/fd", failure);
-  footprint.descriptors =
-      static_cast<uint64_t>(std::distance(begin(descriptors), end(descriptors)));
-  const bool whole = !failure && footprint.memory_kb != 0;
-  return whole ? std::optional(footprint) : std::nullopt;
+  usage.descriptors = static_cast<uint64_t>(std::distance(begin(descriptors), end(descriptors)));
+  const bool complete = !failure && usage.memory_kb != 0;
+  return complete ? std::optional(usage) : std::nullopt;
 }
 
-void Process::askToStop() {
+void Process::requestStop() {
   if (running()) {
     ::kill(pid_, SIGTERM);
   }
--- a/src/standin/plain_service.h
+++ b/src/standin/plain_service.h
@@ -1,31 +1,31 @@
 /// @file
-/// Stand-in for a plain service: bookings, confirmations, tickets. Counts runs by key.
+/// Stand-in for a plain service, such as bookings or tickets. Counts runs by idempotency key.
 #pragma once
 
 #include <string>
 
 #include "adapters/http/http_server.h"
-#include "standin/fault_box.h"
+#include "standin/injected_faults.h"
 #include "standin/run_record.h"
 
 namespace workshatch::standin {
 
-/// Belongs to one worker.
+/// HTTP handler of the stand-in. Not safe for concurrent use; owned by one worker.
 class PlainService {
 public:
-  /// @param run_log file that each run is noted in; empty: none.
+  /// @param run_log file to which each run is appended; empty for no file
   PlainService(std::string name, const std::string& run_log)
       : name_(std::move(name)), runs_(run_log) {}
 
   http::awaitable<void> handle(http::Exchange& exchange);
 
 private:
-  http::awaitable<void> work(http::Exchange& exchange);
+  http::awaitable<void> handleRequest(http::Exchange& exchange);
 
   const std::string name_;
-  Faults faults_;
+  InjectedFaults faults_;
   RunRecord runs_;
-  uint64_t total_ = 0;
+  uint64_t run_count_ = 0;
 };
 
 } // namespace workshatch::standin
--- a/tests/unit/adapters/files_test.cc
+++ b/tests/unit/adapters/files_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Files: the replica's log on a disk, settings and declarations.
+/// Tests of the log store of a replica, the files of settings and declarations, the datagram codec
+/// and the parser of event streams.
 #include <doctest/doctest.h>
 #include <filesystem>
 #include <fstream>
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// A folder that is removed again.
+/// A temporary folder, removed by the destructor.
 class TemporaryFolder {
 public:
   TemporaryFolder() {
@@ -53,15 +54,15 @@
   return ready;
 }
 
-std::string faultsOf(const std::string& text) {
+std::string validationErrorsFor(const std::string& text) {
   const TemporaryFolder folder;
   const std::filesystem::path path = folder / "settings.json";
   writeText(path, text);
   const auto loaded = settings::loadSettings(path.string());
   std::string all;
-  if (const auto* faults = std::get_if<settings::Faults>(&loaded)) {
-    for (const settings::Fault& fault : *faults) {
-      all += fault.pointer + ": " + fault.message + "\n";
+  if (const auto* errors = std::get_if<settings::ValidationErrors>(&loaded)) {
+    for (const settings::ValidationError& error : *errors) {
+      all += error.pointer + ": " + error.message + "\n";
     }
   }
   return all;
@@ -69,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("a replica's log comes back after a restart, without its torn tail") {
+TEST_CASE("a restart recovers the log of a replica without its torn tail") {
   const TemporaryFolder folder;
   SeededRandom random(1);
   uint64_t id = 0;
@@ -94,7 +95,7 @@
   CHECK(replica.recovery.log.at(5).command() == "command 5");
 }
 
-TEST_CASE("a damaged record in the middle stops the replica and names file and offset") {
+TEST_CASE("a damaged record in the middle of the log is an error that names file and offset") {
   const TemporaryFolder folder;
   SeededRandom random(1);
   {
@@ -112,7 +113,7 @@
   CHECK(errorOf(loaded).message.find("raft.log at offset") != std::string::npos);
 }
 
-TEST_CASE("a folder serves one process, and a log without its identity none") {
+TEST_CASE("a data folder in use, or one with a log but no identity, is rejected") {
   const TemporaryFolder folder;
   SeededRandom random(1);
   disk::FileLogStore store(folder.path(), random);
@@ -125,54 +126,54 @@
   CHECK(errorOf(third.load()).message.find("no identity") != std::string::npos);
 }
 
-TEST_CASE("all faults of settings are named at once, by pointer, with what was expected") {
-  const std::string faults = faultsOf(R"({
+TEST_CASE("all errors in settings are reported, with JSON pointer and expected value") {
+  const std::string errors = validationErrorsFor(R"({
     "name": "Entry 1", "zone": "a", "control_key": "0123456789abcdef",
     "control_addresses": ["localhost:1"], "colour": "red",
     "router": {"http_address": "127.0.0.1:80", "peer_address": "127.0.0.1:81",
                "peer_key": "short", "platform_address": "127.0.0.1:82", "workers": 0}})");
-  CHECK(faults.find("/name: ") != std::string::npos);
-  CHECK(faults.find("/colour: unknown member") != std::string::npos);
-  CHECK(faults.find("/control_addresses/0: ") != std::string::npos);
-  CHECK(faults.find("/router/peer_key: ") != std::string::npos);
-  CHECK(faults.find("/router/workers: ") != std::string::npos);
-  CHECK(faults.find("threads that serve connections (1 to 64)") != std::string::npos);
+  CHECK(errors.find("/name: ") != std::string::npos);
+  CHECK(errors.find("/colour: unknown member") != std::string::npos);
+  CHECK(errors.find("/control_addresses/0: ") != std::string::npos);
+  CHECK(errors.find("/router/peer_key: ") != std::string::npos);
+  CHECK(errors.find("/router/workers: ") != std::string::npos);
+  CHECK(errors.find("threads that serve connections (1 to 64)") != std::string::npos);
 }
 
-TEST_CASE("settings that others may read are refused") {
+TEST_CASE("a settings file that other users may read is rejected") {
   const TemporaryFolder folder;
   const std::filesystem::path path = folder / "settings.json";
   writeText(path, "{}");
   std::filesystem::permissions(path, std::filesystem::perms::group_read,
                                std::filesystem::perm_options::add);
   const auto loaded = settings::loadSettings(path.string());
-  CHECK(settings::describe(std::get<settings::Faults>(loaded)[0]).find("0600") !=
+  CHECK(settings::describe(std::get<settings::ValidationErrors>(loaded)[0]).find("0600") !=
         std::string::npos);
 }
 
-TEST_CASE("declarations name unknown services and factors out of order") {
+TEST_CASE("undeclared services and contradicting factors in declarations are errors") {
   const TemporaryFolder folder;
   writeText(folder / "a.json", R"({"services": [{"name": "s", "kind": "plain",
       "cap_factor": 1.2, "aim_factor": 1.3}], "routes": [{"service": "t"}]})");
   const auto loaded = settings::loadDeclarations(folder.path().string());
-  const auto& faults = std::get<settings::Faults>(loaded);
-  REQUIRE(faults.size() == 2);
-  CHECK(faults[0].pointer == "/services/0/aim_factor");
-  CHECK(faults[1].pointer == "/routes/0/service");
+  const auto& errors = std::get<settings::ValidationErrors>(loaded);
+  REQUIRE(errors.size() == 2);
+  CHECK(errors[0].pointer == "/services/0/aim_factor");
+  CHECK(errors[1].pointer == "/routes/0/service");
 }
 
-TEST_CASE("a datagram with another key or a changed byte is not opened") {
+TEST_CASE("a datagram with another key, a changed byte or too few bytes is rejected") {
   v1::PeerDatagram datagram;
   datagram.set_sender("entry-1");
-  std::string bytes = datagram::seal(datagram, "a key of sixteen");
-  CHECK(datagram::open(bytes, "a key of sixteen")->sender() == "entry-1");
-  CHECK_FALSE(datagram::open(bytes, "another key of it"));
+  std::string bytes = datagram::encodeDatagram(datagram, "a key of sixteen");
+  CHECK(datagram::decodeDatagram(bytes, "a key of sixteen")->sender() == "entry-1");
+  CHECK_FALSE(datagram::decodeDatagram(bytes, "another key of it"));
   bytes.back() = static_cast<char>(bytes.back() ^ 1);
-  CHECK_FALSE(datagram::open(bytes, "a key of sixteen"));
-  CHECK_FALSE(datagram::open("short", "a key of sixteen"));
+  CHECK_FALSE(datagram::decodeDatagram(bytes, "a key of sixteen"));
+  CHECK_FALSE(datagram::decodeDatagram("short", "a key of sixteen"));
 }
 
-TEST_CASE("events are found whatever the parts of the stream") {
+TEST_CASE("events are parsed whatever the sizes of the pieces of the stream") {
   const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\ndata: c\n\n: comment\n\n";
   for (size_t part = 1; part < stream.size(); ++part) {
     http::EventStreamParser parser;
--- a/tests/unit/adapters/http_server_test.cc
+++ b/tests/unit/adapters/http_server_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The HTTP server's limits: what callers that send too much, too slowly or nonsense get, and that
-/// others are served meanwhile.
+/// Tests of the HTTP server's limits on requests that are too large, too slow or malformed, of the
+/// phase that the client reports for a failed call, and of error responses.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/connect.hpp>
 #include <boost/asio/detached.hpp>
@@ -8,10 +8,10 @@
 #include <boost/asio/write.hpp>
 #include <doctest/doctest.h>
 
+#include "adapters/http/blocking_client.h"
 #include "adapters/http/http_client.h"
 #include "adapters/http/http_server.h"
 #include "adapters/http/problem.h"
-#include "adapters/http/simple_get.h"
 
 namespace workshatch::test {
 
@@ -32,16 +32,16 @@
 
   const std::string& address() const { return address_; }
 
-  /// Sends bytes as they are and returns the answer's first line.
+  /// Sends raw bytes and returns the status line of the response.
   std::string send(const std::string& bytes) const {
     asio::io_context context;
     asio::ip::tcp::socket socket(context);
     socket.connect(*http::parseEndpoint(address_));
     boost::system::error_code failure;
     asio::write(socket, asio::buffer(bytes), failure);
-    std::string answer;
-    asio::read(socket, asio::dynamic_buffer(answer), failure);
-    return answer.substr(0, answer.find("\r\n"));
+    std::string response;
+    asio::read(socket, asio::dynamic_buffer(response), failure);
+    return response.substr(0, response.find("\r\n"));
   }
 
 private:
@@ -53,7 +53,7 @@
     return limits;
   }
   static http::awaitable<void> answerOk(http::Exchange& exchange) {
-    exchange.closeAfter();
+    exchange.closeAfterResponse();
     http::Response response = http::makeResponse(http::Status::ok, "text/plain", "ok");
     co_await exchange.respond(std::move(response));
   }
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("callers that send too much, too slowly or nonsense get a 4xx, others are served") {
+TEST_CASE("requests that are too large, too slow or malformed get a 4xx while others are served") {
   const SmallServer server;
   CHECK(server.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n") == "HTTP/1.1 200 OK");
   CHECK(server.send("nonsense\r\n\r\n") == "HTTP/1.1 400 Bad Request");
@@ -78,19 +78,19 @@
   CHECK(server.send("GET / HTTP/1.1\r\nX: " + std::string(4000, 'x') + "\r\n\r\n") ==
         "HTTP/1.1 431 Request Header Fields Too Large");
   CHECK(server.send("GET / HTTP/1.1\r\n\r\n") == "HTTP/1.1 400 Bad Request");
-  // A request that never ends: the other caller does not wait for it.
+  // An incomplete request does not delay a request on another connection.
   asio::io_context context;
   asio::ip::tcp::socket slow(context);
   slow.connect(*http::parseEndpoint(server.address()));
   asio::write(slow, asio::buffer(std::string("GET / HTTP/1.1\r\nHo")));
-  CHECK(std::get<std::string>(http::simpleGet(server.address(), "/")) == "ok");
-  std::string answer;
+  CHECK(std::get<std::string>(http::blockingGet(server.address(), "/")) == "ok");
+  std::string response;
   boost::system::error_code failure;
-  asio::read(slow, asio::dynamic_buffer(answer), failure);
-  CHECK(answer.substr(0, answer.find("\r\n")) == "HTTP/1.1 408 Request Timeout");
+  asio::read(slow, asio::dynamic_buffer(response), failure);
+  CHECK(response.substr(0, response.find("\r\n")) == "HTTP/1.1 408 Request Timeout");
 }
 
-TEST_CASE("a call that broke off on a kept connection counts as sent, also when no other is had") {
+TEST_CASE("a call that fails on an idle connection counts as sent, also if reconnecting fails") {
   WorkerPool workers(1);
   http::Server* server_address = nullptr;
   int requests = 0;
@@ -100,7 +100,8 @@
       co_await exchange.respond(std::move(response));
       co_return;
     }
-    // Ends like a process that dies while it works: the connection and the address are gone.
+    // Simulates a server process that crashes during the request: the connection is reset and
+    // nothing listens at the address any more.
     server_address->stopAccepting();
     exchange.abort();
   };
@@ -120,8 +121,8 @@
       http::Request request(http::Verb::get, "/", 11);
       const http::CallOptions options;
       http::CallResult result = co_await client.call(address, std::move(request), options);
-      if (auto* answer = std::get_if<std::unique_ptr<http::ClientAnswer>>(&result)) {
-        co_await (*answer)->readAll(100);
+      if (auto* response = std::get_if<std::unique_ptr<http::ClientResponse>>(&result)) {
+        co_await (*response)->readAll(100);
       } else {
         errors.push_back(std::get<http::CallError>(result));
       }
@@ -134,7 +135,7 @@
   CHECK(errors[0].phase == http::CallPhase::Sent);
 }
 
-TEST_CASE("a refusal says whether the request ran and when to come back") {
+TEST_CASE("an error response states whether the request was executed and when to retry") {
   const http::Response response =
       http::makeProblem(http::Problem{.status = http::Status::service_unavailable,
                                       .code = "overloaded",
--- a/tests/unit/adapters/replica_transport_test.cc
+++ b/tests/unit/adapters/replica_transport_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Lifetime of the calls between control replicas.
+/// Tests of the lifetime of calls between control replicas.
 #include <atomic>
 #include <chrono>
 #include <memory>
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kAnswerDelay{200};
+constexpr std::chrono::milliseconds kReplyDelay{200};
 
-/// A replica that answers a hello late.
+/// A replica that replies to Hello after a delay.
 class SlowPeer : public v1::ControlPeer::Service {
 public:
   SlowPeer() {
@@ -32,36 +32,37 @@
   }
 
   const std::string& address() const { return address_; }
-  bool asked() const { return asked_; }
+  bool helloReceived() const { return hello_received_; }
 
   grpc::Status Hello(grpc::ServerContext*, const v1::HelloRequest*, v1::HelloReply*) override {
-    asked_ = true;
-    std::this_thread::sleep_for(kAnswerDelay);
+    hello_received_ = true;
+    std::this_thread::sleep_for(kReplyDelay);
     return grpc::Status::OK;
   }
 
 private:
   std::string address_;
-  std::atomic<bool> asked_{false};
+  std::atomic<bool> hello_received_{false};
   std::unique_ptr<grpc::Server> server_;
 };
 
 } // namespace
 
-// A replica that ends while another one's answer to its hello is under way got that answer after
-// its role was gone: the callback of the call used what had been destroyed.
-TEST_CASE("No answer to a hello comes after the transport has ended") {
+// Guards against a use after free: a replica stopped while its Hello call to another replica was in
+// progress, and the callback of the call used the role after its destruction.
+TEST_CASE("No reply to a Hello is delivered after the transport is destroyed") {
   SlowPeer peer;
-  auto transport = std::make_unique<rpc::GrpcReplicaTransport>("127.0.0.1:1", "key", AddressBook());
-  const auto answers = std::make_shared<std::atomic<int>>(0);
-  transport->hello(peer.address(), 1, [answers](const v1::HelloReply&) { ++*answers; });
-  REQUIRE(waitUntil([&] { return peer.asked(); }));
+  auto transport =
+      std::make_unique<rpc::GrpcReplicaTransport>("127.0.0.1:1", "key", AddressOverrides());
+  const auto replies = std::make_shared<std::atomic<int>>(0);
+  transport->sendHello(peer.address(), 1, [replies](const v1::HelloReply&) { ++*replies; });
+  REQUIRE(waitUntil([&] { return peer.helloReceived(); }));
 
   transport.reset();
-  const int answers_at_the_end = *answers;
-  // The call keeps its callback until it is over.
-  REQUIRE(waitUntil([&] { return answers.use_count() == 1; }));
-  CHECK(*answers == answers_at_the_end);
+  const int replies_at_destruction = *replies;
+  // The callback holds its copy of the counter until the call is destroyed.
+  REQUIRE(waitUntil([&] { return replies.use_count() == 1; }));
+  CHECK(*replies == replies_at_destruction);
 }
 
 } // namespace workshatch::test
--- a/tests/unit/core/admission/owner_table_test.cc
+++ b/tests/unit/core/admission/permit_table_test.cc
@@ -1,8 +1,9 @@
 /// @file
-/// Admission: the cap, permits that are asked for twice, fairness, and changes of owners.
+/// Tests of admission by an engine's owner: load cap, repeated permit requests, fairness, silent
+/// routers, and changes of ownership.
 #include <doctest/doctest.h>
 
-#include "core/admission/owner_table.h"
+#include "core/admission/permit_table.h"
 
 namespace workshatch::test {
 
@@ -22,9 +23,10 @@
   return request;
 }
 
-/// A table that owns one engine of two, with an engine limit of `limit`.
-admission::OwnerTable tableOf(uint64_t limit, bool owned = true) {
-  admission::OwnerTable table;
+/// A table for a pool of two engines, of which it owns the first if `owned`; `limit` is the load
+/// limit of an engine.
+admission::PermitTable tableOf(uint64_t limit, bool owned = true) {
+  admission::PermitTable table;
   v1::Configuration configuration;
   v1::Service* service = configuration.add_services();
   service->set_name("pool");
@@ -41,21 +43,21 @@
   return table;
 }
 
-void setTotal(admission::OwnerTable& table, uint64_t total) {
+void setTotal(admission::PermitTable& table, uint64_t total) {
   v1::PoolLoad load;
   load.set_service("pool");
   load.set_load(total);
-  table.setTotals({load});
+  table.setPoolLoads({load});
 }
 
-void setOthers(admission::OwnerTable& table, uint64_t total) {
+void setOthers(admission::PermitTable& table, uint64_t total) {
   for (int i = 0; i < 3; ++i) {
     setTotal(table, total);
   }
 }
 
-/// Asks for permits until one is refused. @return how many were granted.
-uint64_t fill(admission::OwnerTable& table, uint64_t first_sequence) {
+/// Requests permits until one is refused. @return the number that was granted.
+uint64_t fill(admission::PermitTable& table, uint64_t first_sequence) {
   uint64_t sequence = first_sequence;
   while (table.request(requestOf(sequence), 0).verdict() == v1::PERMIT_GRANTED) {
     ++sequence;
@@ -63,27 +65,27 @@
   return sequence - first_sequence;
 }
 
-/// The owner reports its load and gets sums with `others` beside it.
-void exchangeSums(admission::OwnerTable& table, uint64_t others) {
+/// Reports the owner's load and delivers totals that contain it and `others`.
+void exchangeTotals(admission::PermitTable& table, uint64_t others) {
   const auto loads = table.reportLoads();
   setTotal(table, others + (loads.empty() ? 0 : loads.front().load()));
 }
 
-/// Fills the engine, with new sums whenever it is full for now. @return the load in the end.
-uint64_t fillOverSums(admission::OwnerTable& table, uint64_t others) {
+/// Fills the engine and delivers new totals each time it is full. @return the final load.
+uint64_t fillOverTotals(admission::PermitTable& table, uint64_t others) {
   constexpr int kRounds = 10;
   uint64_t held = 0;
   for (int round = 0; round < kRounds; ++round) {
     held += fill(table, held + 1);
-    exchangeSums(table, others);
+    exchangeTotals(table, others);
   }
   return held;
 }
 
 } // namespace
 
-TEST_CASE("an idle engine takes one request, and more only as the pool's mean allows") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("an idle engine accepts one request, and more only up to the load cap") {
+  admission::PermitTable table = tableOf(0);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   // The pool's load is 1; with the request the mean is 1 and the cap 2.
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_GRANTED);
@@ -92,8 +94,8 @@
   CHECK(table.request(requestOf(3), 0).verdict() == v1::PERMIT_GRANTED);
 }
 
-TEST_CASE("a permit asked for twice is given once, and its release frees the engine") {
-  admission::OwnerTable table = tableOf(1);
+TEST_CASE("a repeated permit request is granted once, and its release frees the engine") {
+  admission::PermitTable table = tableOf(1);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   CHECK(table.request(requestOf(1), 0).verdict() == v1::PERMIT_GRANTED);
   CHECK(table.loadOf("m/0") == 1);
@@ -104,8 +106,8 @@
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_GRANTED);
 }
 
-TEST_CASE("waiters of two tenants take turns, and none waits beyond its time") {
-  admission::OwnerTable table = tableOf(1);
+TEST_CASE("queued requests of two tenants alternate, and none stays queued past its deadline") {
+  admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   for (uint64_t sequence = 2; sequence <= 4; ++sequence) {
     CHECK(table.request(requestOf(sequence, "a", 100), 0).verdict() == v1::PERMIT_QUEUED);
@@ -115,20 +117,20 @@
   uint64_t holder = 1;
   for (int i = 0; i < 2; ++i) {
     table.release(requestOf(holder).permit(), "m/0");
-    const auto replies = table.takeReplies(10);
+    const auto replies = table.takeDueReplies(10);
     REQUIRE(replies.size() == 1);
     holder = replies[0].permit().sequence();
     order.push_back(holder);
   }
   CHECK((order[0] == 5 || order[1] == 5));
-  const auto expired = table.takeReplies(200);
+  const auto expired = table.takeDueReplies(200);
   CHECK(expired.size() == 2);
   CHECK(expired[0].verdict() == v1::PERMIT_FULL);
   CHECK(table.waitingCount() == 0);
 }
 
-TEST_CASE("one tenant fills at most half of a queue") {
-  admission::OwnerTable table = tableOf(1);
+TEST_CASE("one tenant uses at most half of a queue") {
+  admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   for (uint64_t sequence = 2; sequence <= 5; ++sequence) {
     CHECK(table.request(requestOf(sequence, "a", 100), 0).verdict() == v1::PERMIT_QUEUED);
@@ -137,8 +139,8 @@
   CHECK(table.request(requestOf(7, "b", 100), 0).verdict() == v1::PERMIT_QUEUED);
 }
 
-TEST_CASE("leaving engines, engines of others and unknown ones give no permit") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("no permit is granted for an engine that is leaving, not owned or unknown") {
+  admission::PermitTable table = tableOf(0);
   v1::PermitRequest other = requestOf(1);
   other.set_engine("m/1");
   CHECK(table.request(other, 0).verdict() == v1::PERMIT_NOT_OWNER);
@@ -148,8 +150,8 @@
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_LEAVING);
 }
 
-TEST_CASE("load left on an engine that is leaving does not raise the cap of the others") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("the load of a leaving engine is not reported as load of the pool") {
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 10);
   for (uint64_t sequence = 1; sequence <= 4; ++sequence) {
     CHECK(table.request(requestOf(sequence), 0).verdict() == v1::PERMIT_GRANTED);
@@ -162,40 +164,40 @@
   CHECK(table.reportLoads().at(0).load() == 3);
 }
 
-TEST_CASE("a new owner counts the permits that holders report") {
-  admission::OwnerTable table = tableOf(2, false);
+TEST_CASE("a new owner counts the permits that their holders report") {
+  admission::PermitTable table = tableOf(2, false);
   v1::HeldPermit held;
   *held.mutable_permit() = requestOf(1).permit();
   held.set_engine("m/0");
   held.set_service("pool");
   held.set_cost(1);
-  table.adopt(held);
-  table.adopt(held);
+  table.adoptPermit(held);
+  table.adoptPermit(held);
   CHECK(table.loadOf("m/0") == 1);
   table.setEngines({{.engine = "m/0", .service = "pool", .owned = true}});
   CHECK(table.request(requestOf(2), 0).verdict() == v1::PERMIT_GRANTED);
   CHECK(table.request(requestOf(3), 0).verdict() == v1::PERMIT_FULL);
-  // An owner that loses the engine forgets its permits, which are reported to the next.
+  // An owner that loses the engine drops its permits; the holders report them to the next owner.
   table.setEngines({{.engine = "m/0", .service = "pool", .owned = false}});
   CHECK(table.loadOf("m/0") == 0);
 }
 
 TEST_CASE("permits of a router that left the view are reclaimed") {
-  admission::OwnerTable table = tableOf(1);
+  admission::PermitTable table = tableOf(1);
   table.request(requestOf(1), 0);
   v1::View view;
   view.add_routers()->set_name("r");
   view.mutable_routers(0)->set_incarnation(2);
-  table.keepRouters(view);
+  table.reclaimPermitsNotInView(view);
   CHECK(table.loadOf("m/0") == 0);
 }
 
-TEST_CASE("a session that was moved is sent to the engine that holds its cache") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("a moved session is redirected to the engine that has its cache") {
+  admission::PermitTable table = tableOf(0);
   v1::SessionMoved moved;
   moved.set_session(42);
   moved.set_engine("m/1");
-  table.sessionMoved(moved, 0);
+  table.recordSessionMove(moved, 0);
   v1::PermitRequest request = requestOf(1);
   request.set_session(42);
   const v1::PermitReply reply = table.request(request, 10);
@@ -205,42 +207,43 @@
   CHECK(table.request(request, 10).verdict() == v1::PERMIT_GRANTED);
 }
 
-TEST_CASE("while the other owners' load falls, the fall is taken to go on") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("a decrease of the other owners' load is extrapolated") {
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 100);
   setTotal(table, 60);
-  // Others hold 20 by now: the engine may hold x <= ceil(1.15 * (20 + x) / 2), half of it at once.
+  // The others' load is estimated at 20: the engine may hold x <= ceil(1.15 * (20 + x) / 2), and
+  // gets half of it at once.
   CHECK(fill(table, 1) == 8);
 }
 
-TEST_CASE("own load that ended since it was reported is not taken for the other owners'") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("own load that ended after its report is not attributed to the other owners") {
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
-  const uint64_t held = fillOverSums(table, 20);
+  const uint64_t held = fillOverTotals(table, 20);
   REQUIRE(held == 29);
   CHECK(table.reportLoads().at(0).load() == held);
   for (uint64_t sequence = 1; sequence <= held; ++sequence) {
     table.release(requestOf(sequence).permit(), "m/0");
   }
-  // Sums that still hold the reported load.
+  // These totals still contain the reported load.
   setOthers(table, 20 + held);
   CHECK(fill(table, 1000) == 8);
 }
 
-TEST_CASE("an idle engine of a busy fleet is filled in steps, with new sums between") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("an idle engine of a busy pool is filled in steps, with new totals between them") {
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
   CHECK(fill(table, 1) == 8);
   CHECK(fill(table, 100) == 0);
-  exchangeSums(table, 20);
+  exchangeTotals(table, 20);
   CHECK(fill(table, 200) > 0);
-  // The others' load is gone by the next sums: nothing more is admitted.
-  exchangeSums(table, 0);
+  // The others' load is gone by the next totals, so nothing more is admitted.
+  exchangeTotals(table, 0);
   CHECK(fill(table, 300) == 0);
 }
 
-TEST_CASE("permits of a silent router hold their places and count in no sum") {
-  admission::OwnerTable table = tableOf(0);
+TEST_CASE("permits of a silent router occupy the engine but are left out of the reported load") {
+  admission::PermitTable table = tableOf(0);
   setOthers(table, 20);
   CHECK(fill(table, 1) == 8);
   v1::RouterKey router;
@@ -252,7 +255,7 @@
   table.release(requestOf(1).permit(), "m/0");
   CHECK(table.loadOf("m/0") == 7);
   CHECK(table.reportLoads().at(0).load() == 0);
-  // It was only slow: its permits count again.
+  // The router was only slow, so its permits count again.
   table.setSilentRouters({});
   CHECK(table.reportLoads().at(0).load() == 7);
 }
