--- a/tests/unit/core/raft/simulated_group.cc
+++ b/tests/unit/core/raft/simulated_group.cc
@@ -10,7 +10,7 @@
 
 constexpr uint64_t kFirstIndex = 1;
 constexpr uint64_t kCompactAbove = 40;
-constexpr int64_t kMostDelayMs = 120;
+constexpr int64_t kMaxDelayMs = 120;
 
 v1::RaftEntry baseOf(uint64_t index, uint64_t term) {
   v1::RaftEntry base;
@@ -21,10 +21,10 @@
 
 } // namespace
 
-void SimulatedDisk::write(const raft::RaftReady& ready, size_t most_records) {
+void SimulatedDisk::write(const raft::RaftReady& ready, size_t max_records) {
   if (ready.snapshot) {
-    // Replaced by renaming a whole file: all or nothing.
-    if (most_records == 0) {
+    // The file is replaced by a rename, so it is written completely or not at all.
+    if (max_records == 0) {
       return;
     }
     if (ready.hard_state) {
@@ -36,16 +36,16 @@
     return;
   }
   size_t written = 0;
-  if (ready.hard_state && written++ < most_records) {
+  if (ready.hard_state && written++ < max_records) {
     hard_state = *ready.hard_state;
   }
-  if (ready.truncate_from != 0 && written++ < most_records) {
+  if (ready.truncate_from != 0 && written++ < max_records) {
     while (entries.size() > 1 && entries.back().index() >= ready.truncate_from) {
       entries.pop_back();
     }
   }
   for (const v1::RaftEntry& entry : ready.entries) {
-    if (written++ < most_records) {
+    if (written++ < max_records) {
       entries.push_back(entry);
     }
   }
@@ -85,7 +85,7 @@
   raft::RaftOptions options;
   options.election_ticks = kElectionTicks;
   options.trailing_entries = 5;
-  options.hold_votes_after_restart = leases_;
+  options.withhold_votes_after_restart = leases_;
   options.first_election_ticks = leases_ ? 0 : kFirstElectionTicks;
   replica.node =
       std::make_unique<raft::RaftNode>(replica.id, options, random_, replica.disk.recover());
@@ -94,7 +94,7 @@
     fail("snapshot cannot be read");
   }
   replica.applied = replica.disk.snapshot.index();
-  replica.duties.reset();
+  replica.router_manager.reset();
   replica.up = true;
   replica.frozen = false;
   replica.missed_ticks = 0;
@@ -122,9 +122,9 @@
 
 bool SimulatedGroup::propose(SimulatedReplica& replica, v1::Command command) {
   command.set_clock_ms(static_cast<uint64_t>(now_ms_));
-  const bool taken = replica.node->propose(command.SerializeAsString()).has_value();
+  const bool accepted = replica.node->propose(command.SerializeAsString()).has_value();
   processReady(replica);
-  return taken;
+  return accepted;
 }
 
 void SimulatedGroup::requestRead(SimulatedReplica& replica) {
@@ -165,21 +165,21 @@
       if (read.confirmed) {
         ++confirmed_reads_;
         if (read.index < reads_[read.context].least_index) {
-          fail("a read misses what was committed before it");
+          fail("a confirmed read misses an entry that was committed before it");
         }
       }
     }
   }
   if (!replica.node->isLeader()) {
-    replica.duties.reset();
-  } else if (!replica.duties || replica.duties_term != replica.node->term()) {
-    replica.duties_term = replica.node->term();
-    replica.duties.emplace(control::LeaseOptions{.lease_ms = kLeaseMs});
+    replica.router_manager.reset();
+  } else if (!replica.router_manager || replica.router_manager_term != replica.node->term()) {
+    replica.router_manager_term = replica.node->term();
+    replica.router_manager.emplace(control::LeaseOptions{.lease_ms = kLeaseMs});
   }
   if (replica.applied > replica.node->log().snapshot().index() + kCompactAbove) {
     replica.node->compact(replica.applied, replica.state.save());
     replica.disk.snapshot = replica.node->log().snapshot();
-    replica.disk.entries = replica.node->log().withBase();
+    replica.disk.entries = replica.node->log().entriesWithBase();
   }
 }
 
@@ -208,7 +208,7 @@
   }
   const size_t copies = chance(rates_.repeat) ? 2 : 1;
   for (size_t i = 0; i < copies; ++i) {
-    const auto delay = static_cast<int64_t>(random_.below(kMostDelayMs));
+    const auto delay = static_cast<int64_t>(random_.below(kMaxDelayMs));
     flights_.push_back(Flight{.at_ms = now_ms_ + delay, .message = message});
   }
 }
@@ -218,7 +218,7 @@
   std::vector<Flight> later;
   for (Flight& flight : flights_) {
     const SimulatedReplica* target = find(flight.message.to());
-    // What reaches a frozen replica waits in its socket.
+    // Messages to a frozen replica wait in its socket.
     const bool waits = target != nullptr && target->frozen;
     (flight.at_ms <= now_ms_ && !waits ? due : later).push_back(std::move(flight));
   }
@@ -247,8 +247,8 @@
     replica.node->tick();
   }
   processReady(replica);
-  if (replica.duties && replica.node->committedInTerm()) {
-    if (auto drop = replica.duties->dropExpired(replica.state, now_ms_)) {
+  if (replica.router_manager && replica.node->committedInTerm()) {
+    if (auto drop = replica.router_manager->dropExpired(replica.state, now_ms_)) {
       propose(replica, *drop);
     }
   }
@@ -256,7 +256,7 @@
 
 void SimulatedGroup::crash(SimulatedReplica& replica, bool torn) {
   if (torn && replica.node->isLeader()) {
-    // The next write that it makes is torn.
+    // The replica crashes during its next write, which is torn.
     tear_next_ = replica.id;
     return;
   }
@@ -299,10 +299,10 @@
     }
     injectCuts(*replica);
   }
-  const bool all_well = std::all_of(replicas_.begin(), replicas_.end(), [](const auto& replica) {
+  const bool all_healthy = std::all_of(replicas_.begin(), replicas_.end(), [](const auto& replica) {
     return replica->up && !replica->frozen;
   });
-  if (all_well && chance(rates_.lose_disk)) {
+  if (all_healthy && chance(rates_.lose_disk)) {
     SimulatedReplica& victim = *replicas_[random_.below(replicas_.size())];
     victim.lost = true;
     victim.up = false;
@@ -313,7 +313,8 @@
   }
 }
 
-/// An operator's steps to replace lost replicas, one change at a time, as the daemon takes them.
+/// Replaces lost replicas as an operator does: one membership change at a time, in the order in
+/// which the daemon makes them.
 void SimulatedGroup::replaceLost() {
   SimulatedReplica* leading = leader();
   if (leading == nullptr) {
@@ -366,13 +367,13 @@
     }
     if (leases_ && replica->node->hasLeaderLease()) {
       if (leased != nullptr) {
-        fail("two leaders rely on their leases");
+        fail("two leaders have a valid lease");
       }
       leased = replica.get();
     }
   }
   if (leased != nullptr && leased->node->term() < highest_term) {
-    fail("a leader relies on its lease while a later one leads");
+    fail("a leader has a valid lease although a later term has a leader");
   }
 }
 
--- a/tests/unit/core/relay/relay_addresses_test.cc
+++ b/tests/unit/core/relay/relay_addresses_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Where callers are sent.
+/// The relay addresses that callers receive, how long they may cache them, and the count of silent
+/// relays.
 #include <set>
 #include <string>
 #include <vector>
@@ -28,10 +29,10 @@
   add(list, "a1", "a");
   add(list, "a2", "a");
   add(list, "b1", "b");
-  const relay::AddressQuestion of_a{.zone = "a", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, of_a) == std::vector<std::string>{"a1", "a2"});
-  const relay::AddressQuestion of_b{.zone = "b", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, of_b).size() == 3);
+  const relay::AddressQuery of_a{.zone = "a", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, of_a) == std::vector<std::string>{"a1", "a2"});
+  const relay::AddressQuery of_b{.zone = "b", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, of_b).size() == 3);
 }
 
 TEST_CASE("Callers of a zone with too few relays stay in their region where it has enough") {
@@ -40,38 +41,38 @@
   add(list, "a2", "a");
   add(list, "b1", "b");
   add(list, "c1", "c");
-  const relay::AddressQuestion of_b{.zone = "b", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, of_b) == std::vector<std::string>{"b1", "c1"});
-  // A zone without relays that the settings do not name: the caller's word on its region counts.
-  const relay::AddressQuestion elsewhere{.zone = "d", .region = "west", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, elsewhere) == std::vector<std::string>{"b1", "c1"});
-  const relay::AddressQuestion nowhere{.zone = "d", .own_address = "a1"};
-  CHECK(relay::addressesFor(list, kZones, nowhere).size() == 4);
+  const relay::AddressQuery of_b{.zone = "b", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, of_b) == std::vector<std::string>{"b1", "c1"});
+  // The settings do not contain this zone, so the region that the caller names counts.
+  const relay::AddressQuery elsewhere{.zone = "d", .region = "west", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, elsewhere) == std::vector<std::string>{"b1", "c1"});
+  const relay::AddressQuery nowhere{.zone = "d", .own_address = "a1"};
+  CHECK(relay::selectAddresses(list, kZones, nowhere).size() == 4);
 }
 
-TEST_CASE("A relay that is out of touch sends callers to the others, unless it knows of none") {
+TEST_CASE("A relay without a recent confirmation sends callers to the others, if there are any") {
   v1::RelayList list;
   add(list, "a1", "a");
   add(list, "a2", "a");
   add(list, "b1", "b");
-  const relay::AddressQuestion question{.zone = "a", .own_address = "a1", .in_touch = false};
-  CHECK(relay::addressesFor(list, kZones, question) == std::vector<std::string>{"a2", "b1"});
-  CHECK(relay::addressesFor(v1::RelayList(), kZones, question) == std::vector<std::string>{"a1"});
+  const relay::AddressQuery query{.zone = "a", .own_address = "a1", .confirmed_recently = false};
+  CHECK(relay::selectAddresses(list, kZones, query) == std::vector<std::string>{"a2", "b1"});
+  CHECK(relay::selectAddresses(v1::RelayList(), kZones, query) == std::vector<std::string>{"a1"});
 }
 
-TEST_CASE("Of many relays a bounded number is told, another for each draw") {
+TEST_CASE("Of many relays a limited number is returned, and the draw selects which") {
   v1::RelayList list;
   for (int i = 0; i < 300; ++i) {
     add(list, "r" + std::to_string(i), "a");
   }
-  relay::AddressQuestion question{.zone = "a", .own_address = "r0", .draw = 1};
-  const std::vector<std::string> first = relay::addressesFor(list, kZones, question);
+  relay::AddressQuery query{.zone = "a", .own_address = "r0", .draw = 1};
+  const std::vector<std::string> first = relay::selectAddresses(list, kZones, query);
   CHECK(std::set<std::string>(first.begin(), first.end()).size() == 64);
-  question.draw = 2;
-  CHECK(relay::addressesFor(list, kZones, question) != first);
+  query.draw = 2;
+  CHECK(relay::selectAddresses(list, kZones, query) != first);
 }
 
-TEST_CASE("Callers keep addresses for longer while relays are silent") {
+TEST_CASE("Callers may cache addresses for longer while relays are silent") {
   const relay::AddressLifetimes lifetimes{.ordinary_s = 1, .degraded_s = 5};
   v1::RelayList list;
   add(list, "a1", "a");
@@ -80,16 +81,16 @@
   CHECK(relay::addressesLifetimeS(list, lifetimes) == 5);
 }
 
-TEST_CASE("A silent relay is counted until it is heard again, or for half a minute") {
+TEST_CASE("A silent relay is counted until it renews, for half a minute at most") {
   relay::SilentRelays silent;
-  silent.fellSilent("a", 1'000);
-  silent.fellSilent("b", 2'000);
+  silent.recordSilent("a", 1'000);
+  silent.recordSilent("b", 2'000);
   CHECK(silent.count(2'000) == 2);
-  silent.heard("a");
+  silent.recordRenewal("a");
   CHECK(silent.count(3'000) == 1);
   CHECK(silent.count(32'000) == 1);
   CHECK(silent.count(32'001) == 0);
-  silent.fellSilent("a", 40'000);
+  silent.recordSilent("a", 40'000);
   silent.clear();
   CHECK(silent.count(40'000) == 0);
 }
--- a/tests/unit/daemon/group/group_fixture.h
+++ b/tests/unit/daemon/group/group_fixture.h
@@ -1,5 +1,6 @@
 /// @file
-/// Replicas of a group on one event loop, with disks in memory and messages that a test may lose.
+/// Fixture for group tests: replicas on one event loop, with in-memory disks and a transport that
+/// can drop messages.
 #pragma once
 
 #include <algorithm>
@@ -35,15 +36,16 @@
   return command;
 }
 
-/// Replicas on one event loop; messages to machines that are down are lost.
+/// A group of replicas on one event loop. Messages to machines without a running replica are
+/// dropped.
 class Group {
 public:
-  /// @param voters as many as the group grows to
+  /// @param voters number of voters up to which the group grows
   explicit Group(size_t voters = 3) : voters_(voters) {}
 
   struct Machine {
-    /// Time of the machine, which may sleep.
-    SleepingClock clock;
+    /// The machine's clock, which a test can advance as if the machine had been suspended.
+    SuspendableClock clock;
     std::unique_ptr<MemoryStore> disk;
     std::unique_ptr<GroupReplica> replica;
   };
@@ -59,25 +61,25 @@
     options.first_start = first_start;
     options.voters = voters_;
     options.tick_ms = 10;
-    options.gone_ms = 200;
+    options.silent_voter_limit_ms = 200;
     options.snapshot_entries = 4;
     machine.replica = std::make_unique<GroupReplica>(context_, options, *machine.disk,
                                                      machine.clock, random_, transportOf(address));
-    machine.replica->onHelloWanted([this](const std::string& to, const v1::ReplicaHello& hello) {
+    machine.replica->setHelloSender([this](const std::string& to, const v1::ReplicaHello& hello) {
       deliver(to, [hello](GroupReplica& replica) { replica.helloReceived(hello); });
     });
-    machine.replica->onJoinWanted([this](const std::string& to, const v1::JoinRequest& join) {
+    machine.replica->setJoinSender([this](const std::string& to, const v1::JoinRequest& join) {
       deliver(to, [join](GroupReplica& replica) { replica.joinReceived(join); });
     });
     REQUIRE_FALSE(isError(machine.replica->start()));
   }
-  /// The machine sleeps: its process and its timers stand still.
+  /// Simulates a suspension of the machine: its clock jumps ahead.
   void sleep(const std::string& address, int64_t milliseconds) {
     machines_.at(address).clock.sleepFor(milliseconds);
   }
-  /// Ends the process; its timers and messages end with it.
+  /// Kills the replica's process, with its timers and the messages sent to it. The disk remains.
   void kill(const std::string& address) { machines_.at(address).replica.reset(); }
-  /// Loses all messages to and from a machine.
+  /// Drops Raft messages to and from a machine while `cut` is set.
   void cutOff(const std::string& address, bool cut) {
     if (cut) {
       cut_off_.insert(address);
@@ -85,6 +87,7 @@
       cut_off_.erase(address);
     }
   }
+  /// Erases the machine's disk.
   void wipe(const std::string& address) { machines_.at(address).disk.reset(); }
 
   bool runUntil(const std::function<bool()>& condition) {
@@ -98,7 +101,7 @@
     const std::string address = leaderAddress();
     return address.empty() ? nullptr : machines_.at(address).replica.get();
   }
-  /// @return the address of the replica that leads; empty: none does.
+  /// @return the address of the leader; empty if there is none.
   std::string leaderAddress() {
     for (auto& [address, machine] : machines_) {
       if (machine.replica && machine.replica->leads()) {
@@ -107,61 +110,64 @@
     }
     return "";
   }
-  /// Stores through whoever leads, again until it is acknowledged.
+  /// Stores a configuration through the current leader and retries until it is acknowledged.
   bool store(uint64_t version) {
     bool stored = false;
-    bool asked = false;
+    bool pending = false;
     return runUntil([&] {
-      GroupReplica* leading = stored || asked ? nullptr : leader();
+      GroupReplica* leading = stored || pending ? nullptr : leader();
       if (leading != nullptr) {
-        asked = true;
+        pending = true;
         v1::StoredConfiguration configuration;
         configuration.set_version(version);
         configuration.set_compressed_document("v" + std::to_string(version));
         leading->store(configuration, [&](const CallOutcome<StoreOutcome>& outcome) {
           stored = outcome == CallOutcome<StoreOutcome>(StoreOutcome::Stored);
-          asked = false;
+          pending = false;
         });
       }
       return stored;
     });
   }
-  /// Orders through whoever leads, again until it is acknowledged.
+  /// Orders an evacuation or its end through the current leader and retries until it is
+  /// acknowledged.
   bool order(const std::string& zone, bool begin) {
     bool stored = false;
-    bool asked = false;
+    bool pending = false;
     return runUntil([&] {
-      GroupReplica* leading = stored || asked ? nullptr : leader();
+      GroupReplica* leading = stored || pending ? nullptr : leader();
       if (leading != nullptr) {
-        asked = true;
+        pending = true;
         leading->order(evacuationOrder(zone, begin), [&](const CallOutcome<StoreOutcome>& outcome) {
           stored = outcome == CallOutcome<StoreOutcome>(StoreOutcome::Stored);
-          asked = false;
+          pending = false;
         });
       }
       return stored;
     });
   }
-  /// @return the zones that the leader holds for evacuated, confirmed by a majority.
+  /// @return the evacuated zones, read from the leader after a majority confirmed it.
   std::vector<std::string> evacuated() {
     REQUIRE(read().size() > 0);
     GroupReplica* leading = leader();
     REQUIRE(leading != nullptr);
-    return relay::zoneNames(leading->evacuations());
+    return relay::evacuatedZoneNames(leading->evacuations());
   }
+  /// @return the configuration document, read through the current leader; retries until it
+  /// succeeds.
   std::string read() {
     std::string document;
-    bool asked = false;
+    bool pending = false;
     runUntil([&] {
-      GroupReplica* leading = asked || !document.empty() ? nullptr : leader();
+      GroupReplica* leading = pending || !document.empty() ? nullptr : leader();
       if (leading != nullptr) {
-        asked = true;
+        pending = true;
         using Read = CallOutcome<const v1::StoredConfiguration*>;
         leading->read([&](const Read& read) {
           const auto* stored = std::get_if<const v1::StoredConfiguration*>(&read);
           const bool known = stored != nullptr && *stored != nullptr;
           document = known ? (*stored)->compressed_document() : "";
-          asked = false;
+          pending = false;
         });
       }
       return !document.empty();
@@ -223,6 +229,7 @@
   std::set<std::string> cut_off_;
 };
 
+/// Starts the initial replicas a, b and c and stores version 1.
 inline void startFirst(Group& group) {
   group.start("a", 11, true);
   group.start("b", 12, true);
--- a/tests/unit/daemon/group/group_role_test.cc
+++ b/tests/unit/daemon/group/group_role_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The operator's orders at a group of one replica, over HTTP: evacuations begin, end, are
-/// repeated.
+/// Tests of the group role with a group of one replica: evacuation calls of operators over HTTP,
+/// and planned stops during such calls.
 #include <atomic>
 #include <chrono>
 #include <filesystem>
@@ -16,7 +16,7 @@
 #include "daemon/group/group_role.h"
 #include "ports/seeded_random.h"
 #include "unit/daemon/relay/relay_fixture.h"
-#include "unit/stops_to_play.h"
+#include "unit/stop_count.h"
 #include "unit/wait_until.h"
 
 namespace workshatch::test {
@@ -39,7 +39,7 @@
   Result<RunnerPage> decode(std::string_view) const override { return Error{"no list"}; }
 };
 
-/// A group of one replica on its own disk folder.
+/// A group of one replica with its own data folder.
 class OneReplica {
 public:
   OneReplica() : folder_(std::filesystem::temp_directory_path() / "workshatch-group-role-test") {
@@ -71,7 +71,7 @@
   OneReplica(const OneReplica&) = delete;
   OneReplica& operator=(const OneReplica&) = delete;
 
-  /// @return the head of the answer.
+  /// @return the whole HTTP response.
   static std::string call(const std::string& method, const std::string& path) {
     return answerTo(method + " " + path +
                         " HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n"
@@ -79,7 +79,7 @@
                     kOperatorAddress);
   }
 
-  /// Stops the role as its program does. @return whether it ended within kStopLimit.
+  /// Stops the role as the daemon does. @return whether it stopped within kStopLimit.
   bool stop() {
     std::atomic<bool> stopped{false};
     boost::asio::post(workers_.context(0), [&] { role_->stop([&] { stopped = true; }); });
@@ -88,7 +88,7 @@
     return in_time;
   }
 
-  /// Repeats the call, as operators do, until the replica has become the leader.
+  /// Repeats the call, as operators do, until the replica is the leader.
   static std::string callLeader(const std::string& method, const std::string& path) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
     std::string answer = call(method, path);
@@ -109,28 +109,28 @@
   std::unique_ptr<daemon::GroupRole> role_;
 };
 
-/// Operators that order and ask again and again, until they are told to stop.
-class PressingOrders {
+/// Operators that repeat evacuation calls until destruction.
+class RepeatingOperators {
 public:
-  PressingOrders() {
+  RepeatingOperators() {
     constexpr int kOperators = 4;
     for (int i = 0; i < kOperators; ++i) {
-      threads_.emplace_back([this] { press(); });
+      threads_.emplace_back([this] { callRepeatedly(); });
     }
   }
-  ~PressingOrders() {
+  ~RepeatingOperators() {
     stopped_ = true;
     for (std::thread& thread : threads_) {
       thread.join();
     }
   }
-  PressingOrders(const PressingOrders&) = delete;
-  PressingOrders& operator=(const PressingOrders&) = delete;
+  RepeatingOperators(const RepeatingOperators&) = delete;
+  RepeatingOperators& operator=(const RepeatingOperators&) = delete;
 
   int answered() const { return answered_; }
 
 private:
-  void press() {
+  void callRepeatedly() {
     while (!stopped_) {
       const std::string answer = OneReplica::call("POST", "/evacuate/south");
       answered_ += answer.starts_with("HTTP/1.1 ") ? 1 : 0;
@@ -145,22 +145,21 @@
 } // namespace
 
 TEST_CASE("A replica of the group ends while operators go on calling") {
-  const int stops = stopsToPlay(5);
+  const int stops = stopCount(5);
   for (int seed = 1; seed <= stops; ++seed) {
     OneReplica replica;
-    const PressingOrders operators;
-    // Some stops come before the first election, some while the replica leads.
-    constexpr uint64_t kShortestLifeMs = 50;
-    constexpr uint64_t kLongestLifeMs = 800;
+    const RepeatingOperators operators;
+    // Some stops occur before the first election, some while the replica is the leader.
+    constexpr uint64_t kMinRunTimeMs = 50;
+    constexpr uint64_t kMaxRunTimeMs = 800;
     std::this_thread::sleep_for(
-        std::chrono::milliseconds(kShortestLifeMs + SeededRandom(seed).below(kLongestLifeMs)));
+        std::chrono::milliseconds(kMinRunTimeMs + SeededRandom(seed).below(kMaxRunTimeMs)));
     REQUIRE_MESSAGE(replica.stop(), "stop of seed ", seed);
     CHECK(operators.answered() > 0);
   }
 }
 
-TEST_CASE(
-    "Orders to evacuate a zone are acknowledged, repeated ones too; others are refused clearly") {
+TEST_CASE("Evacuation calls are acknowledged, also repeated ones, and invalid calls are refused") {
   const OneReplica replica;
   CHECK(OneReplica::callLeader("POST", "/evacuate/south").starts_with("HTTP/1.1 200"));
   CHECK(OneReplica::call("POST", "/evacuate/south").starts_with("HTTP/1.1 200"));
--- a/tests/unit/daemon/group/relay_hub_test.cc
+++ b/tests/unit/daemon/group/lease_service_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What the leader answers to relays, over links on loopback: true confirmations, paced lists.
+/// Tests of the leader's service for relays over loopback links: confirmation of renewals and
+/// bandwidth limit of pushed lists.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -8,12 +9,12 @@
 #include <doctest/doctest.h>
 
 #include "adapters/link/framed_link.h"
-#include "daemon/group/relay_hub.h"
+#include "daemon/group/lease_service.h"
 #include "unit/daemon/group/group_fixture.h"
 
 namespace workshatch::test {
 
-TEST_CASE("A renewal is confirmed by a majority that answers after it, not by an earlier lease") {
+TEST_CASE("A renewal is confirmed only by a majority that answers after it arrived") {
   Group group;
   startFirst(group);
   std::string leading = "a";
@@ -21,16 +22,16 @@
     leading = group.at(address).leads() ? address : leading;
   }
   constexpr double kLinkMbps = 100;
-  daemon::RelayHub hub(group.context(), group.at(leading), group.clock(), kLinkMbps);
+  daemon::LeaseService service(group.context(), group.at(leading), group.clock(), kLinkMbps);
   link::LinkListener listener(group.context());
   std::vector<std::shared_ptr<link::FramedLink>> links;
   constexpr const char* kAddress = "127.0.0.1:18261";
   REQUIRE_FALSE(isError(listener.listen(kAddress, [&](std::shared_ptr<link::FramedLink> link) {
     links.push_back(link);
     link->start(
-        [&hub, weak = std::weak_ptr(link)](const v1::Frame& frame) {
+        [&service, weak = std::weak_ptr(link)](const v1::Frame& frame) {
           if (const auto from = weak.lock()) {
-            hub.renewed(from, frame.renewal());
+            service.handleRenewal(from, frame.renewal());
           }
         },
         [] {});
@@ -47,7 +48,8 @@
     v1::Frame frame;
     frame.mutable_renewal()->set_sequence(sequence);
     frame.mutable_renewal()->set_name("relay-1");
-    // The fixture's documents are not compressed: the relay says that it has the configuration.
+    // The fixture's documents are not compressed. The relay reports that it has the configuration,
+    // which keeps the leader from sending it.
     frame.mutable_renewal()->set_configuration_version(1);
     relay->send(frame);
   };
@@ -55,7 +57,7 @@
   REQUIRE(group.runUntil([&] { return !replies.empty(); }));
   CHECK(replies[0].confirmed());
   CHECK(replies[0].sequence() == 1);
-  // The others are gone; what they answered before counts for nothing.
+  // Without the other replicas, their earlier answers must not confirm a renewal.
   for (const char* address : {"a", "b", "c"}) {
     if (address != leading) {
       group.kill(address);
@@ -71,32 +73,32 @@
   relay->close();
 }
 
-TEST_CASE("A long list reaches relays one after the other, as the leader's link bears it") {
+TEST_CASE("A large runner list is pushed to relays one by one within the bandwidth limit") {
   Group group;
   startFirst(group);
   std::string leading = "a";
   for (const char* address : {"a", "b", "c"}) {
     leading = group.at(address).leads() ? address : leading;
   }
-  // A burst of 4 KB; the list is several times that.
+  // This bandwidth allows a burst of 4 KB; the list is several times larger.
   constexpr double kLinkMbps = 1;
   constexpr int kRelays = 4;
-  daemon::RelayHub hub(group.context(), group.at(leading), group.clock(), kLinkMbps);
+  daemon::LeaseService service(group.context(), group.at(leading), group.clock(), kLinkMbps);
   link::LinkListener listener(group.context());
   std::vector<std::shared_ptr<link::FramedLink>> links;
   constexpr const char* kAddress = "127.0.0.1:18262";
   REQUIRE_FALSE(isError(listener.listen(kAddress, [&](std::shared_ptr<link::FramedLink> link) {
     links.push_back(link);
     link->start(
-        [&hub, weak = std::weak_ptr(link)](const v1::Frame& frame) {
+        [&service, weak = std::weak_ptr(link)](const v1::Frame& frame) {
           if (const auto from = weak.lock()) {
-            hub.renewed(from, frame.renewal());
+            service.handleRenewal(from, frame.renewal());
           }
         },
         [] {});
   })));
   std::vector<std::shared_ptr<link::FramedLink>> relays;
-  std::vector<int64_t> list_came_ms;
+  std::vector<int64_t> list_received_ms;
   size_t confirmed = 0;
   std::vector<std::unique_ptr<link::LinkDialer>> dialers;
   for (int i = 0; i < kRelays; ++i) {
@@ -107,7 +109,7 @@
                                [&](const v1::Frame& frame) {
                                  confirmed += frame.lease().confirmed() ? 1 : 0;
                                  if (frame.lease().has_runners()) {
-                                   list_came_ms.push_back(group.clock().monotonicMs());
+                                   list_received_ms.push_back(group.clock().monotonicMs());
                                  }
                                },
                                [] {});
@@ -127,10 +129,10 @@
     entry->set_id(std::to_string(random.next()));
     entry->set_address(std::to_string(random.next()));
   }
-  hub.runnersRead(list);
-  REQUIRE(group.runUntil([&] { return list_came_ms.size() == kRelays; }));
-  // Each of them is some 10 KB, at 87 KB a second; nobody's lease waited for it.
-  CHECK(list_came_ms.back() - list_came_ms.front() >= 150);
+  service.updateRunnerList(list);
+  REQUIRE(group.runUntil([&] { return list_received_ms.size() == kRelays; }));
+  // Each copy is about 10 KB, at 87 KB/s. All leases were confirmed before the push.
+  CHECK(list_received_ms.back() - list_received_ms.front() >= 150);
   for (const auto& relay : relays) {
     relay->close();
   }
--- a/tests/unit/daemon/open_calls_test.cc
+++ b/tests/unit/daemon/open_calls_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Each call gets one outcome, whoever answers or ends first.
+/// Tests that each call gets exactly one outcome, whether it is answered or refused first.
 #include <atomic>
 #include <string>
 #include <thread>
@@ -19,7 +19,7 @@
 using daemon::OpenCalls;
 using daemon::ReplyCallback;
 
-/// Keeps the outcomes of one call.
+/// Records the outcomes of one call.
 struct Caller {
   std::vector<std::string> replies;
   int refusals = 0;
@@ -40,7 +40,7 @@
 TEST_CASE("A call is answered once") {
   OpenCalls calls;
   Caller caller;
-  const ReplyCallback<std::string> answer = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> answer = calls.accept<std::string>(caller.callback());
   answer("first");
   answer("second");
   calls.end();
@@ -49,10 +49,10 @@
   CHECK(calls.counts().answered == 1);
 }
 
-TEST_CASE("A call that is open at the end is refused, and its late answer does nothing") {
+TEST_CASE("A call that is open at the end is refused, and a late answer has no effect") {
   OpenCalls calls;
   Caller caller;
-  const ReplyCallback<std::string> answer = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> answer = calls.accept<std::string>(caller.callback());
   calls.end();
   answer("late");
   CHECK(caller.replies.empty());
@@ -60,47 +60,47 @@
   CHECK(calls.counts().refused == 1);
 }
 
-TEST_CASE("A call that comes after the end is refused at once") {
+TEST_CASE("A call that arrives after the end is refused at once") {
   OpenCalls calls;
   calls.end();
   Caller caller;
-  const ReplyCallback<std::string> answer = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> answer = calls.accept<std::string>(caller.callback());
   CHECK(caller.refusals == 1);
   answer("late");
   CHECK(caller.replies.empty());
 }
 
-TEST_CASE("Calls are refused for a while, and taken again, but not after the end") {
+TEST_CASE("Calls can be refused temporarily, but are never accepted again after the end") {
   OpenCalls calls;
   Caller caller;
-  const ReplyCallback<std::string> open = calls.take<std::string>(caller.callback());
+  const ReplyCallback<std::string> open = calls.accept<std::string>(caller.callback());
   calls.refuseAll();
   CHECK(caller.refusals == 1);
-  calls.take<std::string>(caller.callback());
+  calls.accept<std::string>(caller.callback());
   CHECK(caller.refusals == 2);
-  calls.takeAgain();
-  calls.take<std::string>(caller.callback())("reply");
+  calls.resumeAccepting();
+  calls.accept<std::string>(caller.callback())("reply");
   open("late");
   CHECK(caller.replies == std::vector<std::string>{"reply"});
   calls.end();
   calls.refuseAll();
-  calls.takeAgain();
-  calls.take<std::string>(caller.callback());
+  calls.resumeAccepting();
+  calls.accept<std::string>(caller.callback());
   CHECK(caller.refusals == 3);
 }
 
-TEST_CASE("A way to answer may outlive the calls that it belongs to") {
+TEST_CASE("The answer function may be used after the OpenCalls object is destroyed") {
   Caller caller;
   ReplyCallback<std::string> answer;
   {
     OpenCalls calls;
-    answer = calls.take<std::string>(caller.callback());
+    answer = calls.accept<std::string>(caller.callback());
   }
   answer("after");
   CHECK(caller.replies == std::vector<std::string>{"after"});
 }
 
-TEST_CASE("Calls taken are calls answered and calls refused when threads answer while it ends") {
+TEST_CASE("Each call is counted as answered or refused when the end races with answers") {
   constexpr int kRounds = 200;
   constexpr int kThreads = 4;
   constexpr int kCallsPerThread = 50;
@@ -112,7 +112,7 @@
     for (int thread = 0; thread < kThreads; ++thread) {
       callers.emplace_back([&] {
         for (int call = 0; call < kCallsPerThread; ++call) {
-          calls.take<int>([&](const CallOutcome<int>&) { ++outcomes; })(call);
+          calls.accept<int>([&](const CallOutcome<int>&) { ++outcomes; })(call);
         }
       });
     }
@@ -122,8 +122,8 @@
     }
     const CallCounts counts = calls.counts();
     CHECK(outcomes == kThreads * kCallsPerThread);
-    CHECK(counts.taken == kThreads * kCallsPerThread);
-    CHECK(counts.answered + counts.refused == counts.taken);
+    CHECK(counts.accepted == kThreads * kCallsPerThread);
+    CHECK(counts.answered + counts.refused == counts.accepted);
   }
 }
 
--- a/tests/unit/daemon/relay/relay_fixture.h
+++ b/tests/unit/daemon/relay/relay_fixture.h
@@ -1,5 +1,6 @@
 /// @file
-/// One relay's request handling on loopback, with runners whose answers a test scripts.
+/// Fixture that runs one relay's request handling on loopback, with runners whose behavior a test
+/// scripts.
 #pragma once
 
 #include <algorithm>
@@ -23,13 +24,13 @@
 #include "adapters/http/http_server.h"
 #include "adapters/system_clock.h"
 #include "adapters/worker_pool.h"
-#include "daemon/relay/relay_run.h"
+#include "daemon/relay/active_request.h"
 #include "ports/configuration_codec.h"
 #include "ports/relay_dialect.h"
 
 namespace workshatch::test {
 
-/// @return whether the condition came true within the limit.
+/// Polls a condition. @return whether it became true within the limit.
 template <typename Condition> bool within(std::chrono::milliseconds limit, Condition condition) {
   const auto end = std::chrono::steady_clock::now() + limit;
   while (!condition() && std::chrono::steady_clock::now() < end) {
@@ -38,26 +39,26 @@
   return condition();
 }
 
-inline constexpr std::chrono::milliseconds kPatience{10'000};
+inline constexpr std::chrono::milliseconds kTestTimeout{10'000};
 
 /// A caller's request for path `/work`.
 struct CallerRequest {
   std::string id;
   std::string key = "key-1";
-  int64_t patience_ms = 3000;
+  int64_t timeout_ms = 3000;
   std::string more_headers;
   std::string body = "hi";
 };
 
 inline std::string requestText(const CallerRequest& request) {
   return "POST /work HTTP/1.1\r\nHost: h.example\r\nW-Request: " + request.id +
-         "\r\nW-Key: " + request.key + "\r\nW-Deadline: " + std::to_string(request.patience_ms) +
+         "\r\nW-Key: " + request.key + "\r\nW-Deadline: " + std::to_string(request.timeout_ms) +
          "\r\nConnection: close\r\n" + request.more_headers +
          "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body;
 }
 
-/// Sends bytes on a connection of their own. @return everything that comes until it ends; empty:
-/// nobody listens.
+/// Sends bytes on a new connection. @return everything received until it is closed; empty if
+/// nothing listens at the address.
 inline std::string answerTo(const std::string& bytes, const std::string& address) {
   boost::asio::io_context context;
   boost::asio::ip::tcp::socket socket(context);
@@ -69,7 +70,7 @@
   return answer;
 }
 
-/// Names of this project's own, unlike those of any platform.
+/// A dialect for tests, whose names differ from those of every real platform.
 class TestDialect : public RelayDialect {
 public:
   const HeaderNames& headers() const override {
@@ -80,7 +81,7 @@
         .deadline = "W-Deadline",
         .target_runner = "W-Runner",
         .priority = "W-Priority",
-        .prompt_parts = "W-Parts",
+        .prefix_blocks = "W-Parts",
         .not_run = "W-Not-Run",
         .signature = "W-Signature",
         .load = "W-Load",
@@ -96,7 +97,7 @@
                                     .get_configuration = "/get"};
     return paths;
   }
-  std::optional<EvacuationCall> evacuationCall(std::string_view path) const override {
+  std::optional<EvacuationCall> parseEvacuationCall(std::string_view path) const override {
     constexpr std::string_view kBegin = "/evacuate/";
     constexpr std::string_view kEnd = "/take-back/";
     if (path.starts_with(kBegin)) {
@@ -107,31 +108,33 @@
     }
     return std::nullopt;
   }
-  std::optional<RolloutCall> rolloutCall(std::string_view path) const override {
-    constexpr std::string_view kAsk = "/rollout/";
+  std::optional<RolloutCall> parseRolloutCall(std::string_view path) const override {
+    constexpr std::string_view kQueryPrefix = "/rollout/";
     if (path == "/roll-out") {
       return RolloutCall{.begin = true};
     }
-    return path.starts_with(kAsk)
-               ? std::optional(RolloutCall{.service = std::string(path.substr(kAsk.size()))})
+    return path.starts_with(kQueryPrefix)
+               ? std::optional(
+                     RolloutCall{.service = std::string(path.substr(kQueryPrefix.size()))})
                : std::nullopt;
   }
   /// The body is "SERVICE VERSION MILLISECONDS".
-  Result<RolloutWish> rolloutWish(std::string_view body) const override {
+  Result<RolloutRequest> parseRolloutRequest(std::string_view body) const override {
     std::istringstream words{std::string(body)};
-    RolloutWish wish;
-    words >> wish.service >> wish.target_version >> wish.duration_ms;
-    return words && wish.duration_ms > 0 ? Result<RolloutWish>(wish) : Error{"no wish"};
+    RolloutRequest order;
+    words >> order.service >> order.target_version >> order.duration_ms;
+    return words && order.duration_ms > 0 ? Result<RolloutRequest>(order) : Error{"invalid order"};
   }
-  std::string rolloutAnswer(RolloutState state, const std::string& target_version) const override {
+  std::string rolloutStatusBody(RolloutState state,
+                                const std::string& target_version) const override {
     return std::to_string(static_cast<int>(state)) + " " + target_version;
   }
-  /// Any value names two parts.
-  std::vector<PromptPart> promptParts(std::string_view) const override {
-    return {PromptPart{.id = "shared", .tokens = 1}, PromptPart{.id = "own", .tokens = 1}};
+  /// Any value stands for two prefix blocks, the first of which is shared.
+  std::vector<PrefixBlock> parsePrefixBlocks(std::string_view) const override {
+    return {PrefixBlock{.id = "shared", .tokens = 1}, PrefixBlock{.id = "own", .tokens = 1}};
   }
-  /// Times are whole milliseconds.
-  relay::RunnerNotice runnerNotice(const AnswerHead& head) const override {
+  /// Times are integers in milliseconds.
+  relay::RunnerNotice parseRunnerNotice(const ResponseHead& head) const override {
     const auto timeOf = [&head](std::string_view name) {
       const auto value = head.field(name);
       return value ? std::optional<uint32_t>(std::stoul(*value)) : std::nullopt;
@@ -148,26 +151,27 @@
   }
 };
 
-/// Time of the machine, which a test may let sleep: the process stands still and its timers with
-/// it, and time has passed when it goes on. Safe for concurrent use.
-class SleepingClock : public Clock {
+/// The system clock of a machine that a test can suspend: the clock jumps ahead, while the timers
+/// of the process do not advance. Safe for concurrent use.
+class SuspendableClock : public Clock {
 public:
-  void sleepFor(int64_t milliseconds) { slept_ms_ += milliseconds; }
-  int64_t monotonicMs() const override { return clock_.monotonicMs() + slept_ms_; }
+  void sleepFor(int64_t milliseconds) { suspended_ms_ += milliseconds; }
+  int64_t monotonicMs() const override { return clock_.monotonicMs() + suspended_ms_; }
   uint64_t wallMs() const override {
-    return clock_.wallMs() + static_cast<uint64_t>(slept_ms_.load());
+    return clock_.wallMs() + static_cast<uint64_t>(suspended_ms_.load());
   }
 
 private:
   const SystemClock clock_{};
-  std::atomic<int64_t> slept_ms_{0};
+  std::atomic<int64_t> suspended_ms_{0};
 };
 
-/// A runner: takes connections one after another, reads a request on each and does as scripted.
+/// A runner that accepts one connection at a time, reads a request on it and runs the script.
 class ScriptedRunner {
 public:
   using Socket = boost::asio::ip::tcp::socket;
-  /// Runs on the runner's thread with the request's head and body.
+  /// Runs on the runner's thread. `request` has the head of the request, and as much of the body as
+  /// was received with it.
   using Script = std::function<void(Socket&, const std::string& request)>;
 
   explicit ScriptedRunner(Script script)
@@ -175,7 +179,7 @@
         script_(std::move(script)), thread_([this] { serve(); }) {}
   ~ScriptedRunner() {
     stopping_ = true;
-    // Wakes the accept.
+    // Unblocks the accept call.
     boost::asio::io_context context;
     Socket wake(context);
     boost::system::error_code ignored;
@@ -220,19 +224,19 @@
   std::thread thread_;
 };
 
-inline void say(ScriptedRunner::Socket& socket, const std::string& bytes) {
+inline void writeTo(ScriptedRunner::Socket& socket, const std::string& bytes) {
   boost::system::error_code ignored;
   boost::asio::write(socket, boost::asio::buffer(bytes), ignored);
 }
 
-/// @return the id of a request as a runner gets it.
+/// @return the request id in a request that a runner received.
 inline std::string requestIdOf(const std::string& request) {
   const std::string name = "W-Request: ";
   const size_t begin = request.find(name) + name.size();
   return request.substr(begin, request.find("\r\n", begin) - begin);
 }
 
-/// A signed answer with a body, to the request with this id.
+/// @return a signed response with a body to the request with this id.
 inline std::string signedAnswer(const std::string& id, const std::string& body,
                                 const std::string& status = "200 OK") {
   return "HTTP/1.1 " + status + "\r\nW-Request: " + id +
@@ -253,7 +257,7 @@
 
 constexpr const char* kLastChunk = "0\r\n\r\n";
 
-/// A relay's request handling over a server on loopback.
+/// A relay's request handling behind an HTTP server on loopback.
 class TestRelay {
 public:
   explicit TestRelay(const relay::Route& route, const relay::Policy& policy = {},
@@ -274,7 +278,7 @@
     configuration.tenants = {relay::Tenant{.name = "tenant-1", .keys = {"key-1"}}};
     configuration.routes = {route};
     state_.routes = std::make_shared<const relay::RouteTable>(std::move(configuration));
-    // As if told long ago, so that its share of the slack has accrued.
+    // Sets the number of relays in the past, so that the relay's share of the slack has accrued.
     constexpr int64_t kLongAgoMs = 60'000;
     state_.budget.setRelays(1, clock_.monotonicMs() - kLongAgoMs);
     state_.lease.confirmed(state_.lease.renewalSent(clock_.monotonicMs()));
@@ -284,7 +288,7 @@
   TestRelay(const TestRelay&) = delete;
   TestRelay& operator=(const TestRelay&) = delete;
 
-  /// @param slots zero: not told
+  /// @param slots zero if the list does not contain the number
   void addRunner(const std::string& id, const std::string& address, uint32_t slots = 0) {
     v1::RunnerEntry* entry = list_.add_runners();
     entry->set_id(id);
@@ -295,7 +299,7 @@
     list_.set_version(list_.version() + 1);
     state_.runners.setList(list_, 0);
   }
-  /// On the relay's event loop, once it runs.
+  /// Must run on the relay's event loop after `start`.
   void replaceRunner(const std::string& former, const std::string& id, const std::string& address) {
     auto* runners = list_.mutable_runners();
     runners->erase(std::remove_if(runners->begin(), runners->end(),
@@ -305,15 +309,16 @@
   }
   void start() { workers_.start(); }
   daemon::RelayState& state() { return state_; }
-  SleepingClock& clock() { return clock_; }
+  SuspendableClock& clock() { return clock_; }
   boost::asio::io_context& context() { return workers_.context(0); }
   const std::string& address() const { return address_; }
 
-  /// Sends a request for path `/` and returns everything that comes until the connection ends.
-  std::string ask(const std::string& id, const std::string& more_headers = "") const {
+  /// Sends a request for path `/work`. @return everything received until the connection is closed.
+  std::string sendRequest(const std::string& id, const std::string& more_headers = "") const {
     return send(requestText(id, more_headers));
   }
-  /// As `ask`, with the whole request given.
+  /// Sends a complete request given as text. @return everything received until the connection is
+  /// closed.
   std::string send(const std::string& request) const { return answerTo(request, address_); }
   static std::string requestText(const std::string& id, const std::string& more_headers = "") {
     return test::requestText(CallerRequest{.id = id, .more_headers = more_headers});
@@ -327,12 +332,12 @@
       co_await exchange.respond(std::move(response));
       co_return;
     }
-    const auto run = std::make_shared<daemon::RelayRun>(
+    const auto active_request = std::make_shared<daemon::ActiveRequest>(
         workers_.context(0), state_, exchange, std::move(std::get<daemon::RelayRequest>(admitted)));
-    co_await run->run();
+    co_await active_request->run();
   }
 
-  SleepingClock clock_;
+  SuspendableClock clock_;
   const TestDialect dialect_{};
   WorkerPool workers_{1};
   daemon::RelayState state_;
@@ -355,7 +360,7 @@
   return route;
 }
 
-/// Any document is the configuration of one route of one service.
+/// Decodes every document as a configuration with one route and one service.
 class OneRouteCodec : public ConfigurationCodec {
 public:
   Result<relay::Configuration> decode(std::string_view) const override {
--- a/tests/unit/daemon/relay/relay_role_test.cc
+++ b/tests/unit/daemon/relay/relay_role_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The relay role with a leader that a test plays: addresses, readiness, a planned stop.
+/// Tests of the relay role with a fake leader: readiness and a planned stop.
 #include <atomic>
 #include <chrono>
 #include <memory>
@@ -8,7 +8,7 @@
 #include <boost/asio/post.hpp>
 #include <doctest/doctest.h>
 
-#include "adapters/http/simple_get.h"
+#include "adapters/http/blocking_client.h"
 #include "adapters/link/framed_link.h"
 #include "daemon/relay/relay_role.h"
 #include "unit/daemon/relay/relay_fixture.h"
@@ -23,10 +23,10 @@
   Result<RunnerPage> decode(std::string_view) const override { return Error{"no list"}; }
 };
 
-/// Confirms each renewal and tells one runner and the relays it knows.
-class PlayedLeader {
+/// A leader that confirms each renewal and distributes a configuration and a list of one runner.
+class FakeLeader {
 public:
-  PlayedLeader(const std::string& address, std::string runner_address)
+  FakeLeader(const std::string& address, std::string runner_address)
       : listener_(workers_.context(0)), runner_address_(std::move(runner_address)) {
     const auto listening =
         listener_.listen(address, [this](std::shared_ptr<link::FramedLink> link) {
@@ -42,9 +42,9 @@
     REQUIRE_FALSE(isError(listening));
     workers_.start();
   }
-  ~PlayedLeader() { workers_.stop(); }
-  PlayedLeader(const PlayedLeader&) = delete;
-  PlayedLeader& operator=(const PlayedLeader&) = delete;
+  ~FakeLeader() { workers_.stop(); }
+  FakeLeader(const FakeLeader&) = delete;
+  FakeLeader& operator=(const FakeLeader&) = delete;
 
   bool relayIsReady() const { return relay_ready_; }
 
@@ -68,14 +68,14 @@
   WorkerPool workers_{1};
   link::LinkListener listener_;
   const std::string runner_address_;
-  daemon::ConfigurationSender configurations_;
+  daemon::ConfigurationUpdateBuilder configurations_;
   std::vector<std::shared_ptr<link::FramedLink>> links_;
   std::atomic<bool> relay_ready_{false};
 };
 
 } // namespace
 
-TEST_CASE("A planned stop finishes what is in progress, tells callers, and then ends") {
+TEST_CASE("A planned stop reports not ready, finishes requests in progress, and then completes") {
   std::atomic<bool> runner_may_answer{false};
   std::atomic<bool> runner_has_request{false};
   ScriptedRunner runner([&](auto& socket, const auto&) {
@@ -83,9 +83,9 @@
     while (!runner_may_answer) {
       std::this_thread::yield();
     }
-    say(socket, signedAnswer("q1", "done"));
+    writeTo(socket, signedAnswer("q1", "done"));
   });
-  const PlayedLeader leader("127.0.0.1:18241", runner.address());
+  const FakeLeader leader("127.0.0.1:18241", runner.address());
   settings::RelaySettings settings;
   settings.name = "relay-1";
   settings.zone = "z";
@@ -106,23 +106,23 @@
                                                .runner_lists = runner_lists});
   REQUIRE_FALSE(isError(role.start()));
   workers.start();
-  const auto ready = [&] { return !isError(http::simpleGet(settings.ready_address, "/ready")); };
-  REQUIRE(within(kPatience, ready));
+  const auto ready = [&] { return !isError(http::blockingGet(settings.ready_address, "/ready")); };
+  REQUIRE(within(kTestTimeout, ready));
 
   std::string answer;
   std::thread caller(
       [&] { answer = answerTo(TestRelay::requestText("q1"), settings.caller_address); });
-  REQUIRE(within(kPatience, [&] { return runner_has_request.load(); }));
+  REQUIRE(within(kTestTimeout, [&] { return runner_has_request.load(); }));
   std::atomic<bool> stopped{false};
   boost::asio::post(workers.context(0), [&] { role.stop([&] { stopped = true; }); });
-  CHECK(within(kPatience, [&] { return !leader.relayIsReady(); }));
+  CHECK(within(kTestTimeout, [&] { return !leader.relayIsReady(); }));
   CHECK_FALSE(ready());
   CHECK_FALSE(stopped);
   runner_may_answer = true;
   caller.join();
   CHECK(answer.starts_with("HTTP/1.1 200"));
   CHECK(answer.ends_with("done"));
-  CHECK(within(kPatience, [&] { return stopped.load(); }));
+  CHECK(within(kTestTimeout, [&] { return stopped.load(); }));
   workers.stop();
 }
 
--- a/tests/unit/daemon/runner_list_reader_test.cc
+++ b/tests/unit/daemon/runner_list_reader_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// How often the platform is asked for its list when it refuses.
+/// Tests of the backoff of the runner list reader when the platform refuses its calls. The tests
+/// are named after the failures that they guard against.
 #include <string>
 
 #include <boost/asio/co_spawn.hpp>
@@ -13,19 +14,20 @@
 
 namespace {
 
-/// Any body is a list of no runners.
+/// Decodes every body as an empty list of runners.
 class EmptyListCodec : public RunnerListCodec {
 public:
   std::string target(const std::string&) const override { return "/list"; }
   Result<RunnerPage> decode(std::string_view) const override { return RunnerPage{}; }
 };
 
-/// A platform that answers all calls alike, and a reader of its list.
+/// A platform that gives the same response to all calls, and a reader of its list.
 class RefusingPlatform {
 public:
   explicit RefusingPlatform(const std::string& head)
       : platform_([head](auto& socket, const auto&) {
-          say(socket, "HTTP/1.1 " + head + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+          writeTo(socket,
+                  "HTTP/1.1 " + head + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         }),
         reader_(context_, clock_, platform_.address(), codec_) {}
 
@@ -44,19 +46,19 @@
     return done;
   }
   int calls() const { return platform_.requests(); }
-  SleepingClock& clock() { return clock_; }
+  SuspendableClock& clock() { return clock_; }
 
 private:
   ScriptedRunner platform_;
   boost::asio::io_context context_;
-  SleepingClock clock_;
+  SuspendableClock clock_;
   const EmptyListCodec codec_{};
   daemon::RunnerListReader reader_;
 };
 
 } // namespace
 
-TEST_CASE("A platform that told when to come back is asked for its list before") {
+TEST_CASE("The platform is called during the backoff that it requested") {
   for (const char* status : {"429 Too Many", "503 Unavailable"}) {
     CAPTURE(status);
     RefusingPlatform platform(std::string(status) + "\r\nRetry-After: 2.5");
@@ -70,7 +72,7 @@
   }
 }
 
-TEST_CASE("A platform that refuses without a time, or for too long, is never asked again") {
+TEST_CASE("The platform is never called again after a refusal with no time or an excessive time") {
   RefusingPlatform timeless("429 Too Many");
   CHECK_FALSE(timeless.read());
   CHECK_FALSE(timeless.read());
